--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// One clock for the whole program: Unix time, read once at the start and carried on by the steady clock, so
-// that it compares with the boot times in the server list and yet never steps back.
+// The clock of the whole program: Unix time, read once at the start and advanced by the steady clock. It
+// can be compared with the boot times in the server list, and it never steps back.
 #ifndef BRASSWOOD_BASE_CLOCK_H_
 #define BRASSWOOD_BASE_CLOCK_H_
 
@@ -14,14 +14,14 @@
  public:
   Clock()
       : offset_(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
-                Steady()) {}
-  Time Now() const { return offset_ + Steady(); }
+                SteadyNow()) {}
+  Time Now() const { return offset_ + SteadyNow(); }
 
  private:
-  static Duration Steady() {
+  static Duration SteadyNow() {
     return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
   }
-  Duration offset_;
+  Duration offset_;  // Unix time minus steady time, at construction
 };
 
 }  // namespace brasswood
