--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -5,9 +5,9 @@
 namespace brasswood {
 
 const char* NameOf(std::size_t result) {
-  static constexpr const char* kResults[] = {"ok",    "error",     "full", "timeout", "connect_failed",
-                                             "reset", "cancelled", "moot", "miss",    "spoilt"};
-  return result < std::size(kResults) ? kResults[result] : "unknown";
+  static constexpr const char* kResultNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
+                                                 "reset", "cancelled", "moot", "miss",    "spoilt"};
+  return result < std::size(kResultNames) ? kResultNames[result] : "unknown";
 }
 
 std::ostream& operator<<(std::ostream& out, const Counters& c) {
