--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -1,6 +1,7 @@
-// The rules as run-time checks: each is looked at where it could be broken, after the fact and apart from
-// the guards that are to keep it. A violation is counted, and logged with the id that it befell; the
-// process goes on. Counts stand among the counters (SIGUSR1, exit): a sound run says violations=0.
+// Run-time checks of the rules that the router must keep. Each is checked where it could be broken, after
+// the fact and independently of the code that enforces it. A violation is counted and logged with the id of
+// the request that it concerns, and the process goes on. The counts are printed with the counters (SIGUSR1,
+// exit); without any violation they read violations=0.
 #ifndef BRASSWOOD_BASE_INVARIANTS_H_
 #define BRASSWOOD_BASE_INVARIANTS_H_
 
@@ -15,15 +16,16 @@
 namespace brasswood {
 
 enum class Invariant : std::size_t {
-  kAnsweredOnce,       // a request has one answer
-  kAnsweredInTime,     // at most Invariants::kMostLate after its client's time
-  kAnsweredBeforeEnd,  // its connection is not closed from this side before that, and no process ends
-  kSentInTime,         // an attempt's last byte leaves within its time
-  kSentForOpen,        // and while its request waits for an answer
-  kSentToServing,      // to a server that was not told to drain longer than the grace ago
-  kSentAlone,          // no second attempt while one is out, unless the settings allow it
-  kSentHarmlessly,     // no effect twice
-  kNoLateWork,         // nothing is forwarded that was read after a shutdown's last moment for new work
+  kAnsweredOnce,       // a request has exactly one answer
+  kAnsweredInTime,     // it is answered at most Invariants::kMostLate after its deadline
+  kAnsweredBeforeEnd,  // neither the client's connection nor the process is closed by the router before
+                       // that
+  kSentInTime,         // an attempt's last byte is sent before its deadline
+  kSentForOpen,        // an attempt is sent only while its request waits for an answer
+  kSentToServing,      // no attempt goes to a server that began to drain longer than the grace period ago
+  kSentAlone,          // no second attempt while one is in flight, unless the settings allow it
+  kSentHarmlessly,     // a request that must not take effect twice is not sent again once it may have run
+  kNoLateWork,         // no request is forwarded that was read after a shutdown's deadline for new work
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(Invariant::kCount)> kInvariantNames = {
@@ -32,29 +34,31 @@
 
 class Invariants {
  public:
-  // An answer may come this much after its request's time: the process may have been held up.
+  // How long after its request's deadline an answer may come: the process may have been stalled.
   static constexpr Duration kMostLate = std::chrono::milliseconds(500);
-  // And a byte leave this much after the clock was read for it.
+  // How long after its deadline was checked a byte may be sent, for the same reason.
   static constexpr Duration kMostHeldUp = std::chrono::milliseconds(150);
 
-  // Counts and logs a violation unless `holds`. `id`: of the request, or who else it befell.
-  void Expect(bool holds, Invariant what, std::string_view id) {
-    if (!holds) Violated(what, id);
+  // Counts and logs a violation unless `holds`. `id`: the request's, or what else the violation concerns.
+  void Expect(bool holds, Invariant invariant, std::string_view id) {
+    if (!holds) RecordViolation(invariant, id);
+  }
+  std::uint64_t violations() const { return total_; }
+  std::uint64_t violations(Invariant invariant) const {
+    return counts_[static_cast<std::size_t>(invariant)];
   }
-  std::uint64_t violations() const { return all_; }
-  std::uint64_t violations(Invariant what) const { return counts_[static_cast<std::size_t>(what)]; }
 
  private:
-  // Lines logged at most: the counts go on.
-  static constexpr std::uint64_t kMostLines = 100;
+  // Further violations are only counted, so that a rule that is broken all the time does not fill the log.
+  static constexpr std::uint64_t kMaxLoggedViolations = 100;
 
-  void Violated(Invariant what, std::string_view id);
+  void RecordViolation(Invariant invariant, std::string_view id);
 
   std::array<std::uint64_t, static_cast<std::size_t>(Invariant::kCount)> counts_{};
-  std::uint64_t all_ = 0;
+  std::uint64_t total_ = 0;
 };
 
-// " violations=N", and of what where there are any.
+// Writes " violations=N", followed by " violated_NAME=N" for each invariant that was violated.
 std::ostream& operator<<(std::ostream& out, const Invariants& invariants);
 
 }  // namespace brasswood
