--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -8,26 +8,26 @@
 namespace brasswood {
 namespace {
 
-std::ostream* g_to = &std::cerr;
-Level g_from = Level::kInfo;
+std::ostream* g_output = &std::cerr;
+Level g_min_level = Level::kInfo;
 
-constexpr std::string_view kNames[] = {"debug", "info", "warn", "error", "off"};
+constexpr std::string_view kLevelNames[] = {"debug", "info", "warn", "error", "off"};
 
 }  // namespace
 
 std::optional<Level> ParseLevel(std::string_view name) {
   for (int i = 0; i < 5; ++i) {
-    if (kNames[i] == name) return static_cast<Level>(i);
+    if (kLevelNames[i] == name) return static_cast<Level>(i);
   }
   return std::nullopt;
 }
 
-void SetLog(std::ostream& to, Level from) {
-  g_to = &to;
-  g_from = from;
+void SetLog(std::ostream& output, Level min_level) {
+  g_output = &output;
+  g_min_level = min_level;
 }
 
-bool Logs(Level level) { return level >= g_from && level != Level::kOff; }
+bool Logs(Level level) { return level >= g_min_level && level != Level::kOff; }
 
 LogLine::LogLine(Level level) {
   if (!Logs(level)) return;
@@ -38,13 +38,13 @@
   std::snprintf(stamp, sizeof stamp, "%lld.%03d ", static_cast<long long>(ms / 1000),
                 static_cast<int>(ms % 1000));
   text_.emplace();
-  *text_ << stamp << kNames[static_cast<int>(level)] << ' ';
+  *text_ << stamp << kLevelNames[static_cast<int>(level)] << ' ';
 }
 
 LogLine::~LogLine() {
   if (!text_) return;
   *text_ << '\n';
-  *g_to << text_->str() << std::flush;
+  *g_output << text_->str() << std::flush;
 }
 
 }  // namespace brasswood
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,4 +1,4 @@
-// The log: lines on an ostream, those below the chosen level dropped before they are put together.
+// The log: lines written to an ostream. Lines below the minimum level are dropped without being formatted.
 //
 //   LogLine(Level::kWarn) << "server list refused: " << why;
 #ifndef BRASSWOOD_BASE_LOG_H_
@@ -13,15 +13,16 @@
 
 enum class Level { kDebug, kInfo, kWarn, kError, kOff };
 
-// The level of that name ("debug", "info", "warn", "error", "off").
+// The level called `name` ("debug", "info", "warn", "error", "off"), if there is one.
 std::optional<Level> ParseLevel(std::string_view name);
 
-// Where lines go and from which level on. The defaults are std::cerr and kInfo.
-void SetLog(std::ostream& to, Level from);
+// Sets where lines are written and the lowest level that is written. The defaults are std::cerr and kInfo.
+void SetLog(std::ostream& output, Level min_level);
 
-// Is a line of this level written at all?
+// Whether lines of this level are written.
 bool Logs(Level level);
 
+// One line of the log, written when the object is destroyed.
 class LogLine {
  public:
   explicit LogLine(Level level);
@@ -35,7 +36,7 @@
   }
 
  private:
-  std::optional<std::ostringstream> text_;  // absent below the level
+  std::optional<std::ostringstream> text_;  // empty if the line is not written
 };
 
 }  // namespace brasswood
