--- a/src/base/poll_times.h
+++ b/src/base/poll_times.h
@@ -1,12 +1,13 @@
-// When what an event loop reads can have arrived, told from the times of its polls alone. Free of I/O.
+// Bounds the arrival time of the data that an event loop reads, from the times of its polls alone. Does no
+// I/O.
 //
-// A loop that is held up (by its own work, by the scheduler, by a write that blocks) reads late. What it
-// finds then has waited unread, and the time of a request runs from its arrival. The kernel reports what is
-// readable when a poll returns, so:
+// A loop that is delayed (by its own work, by the scheduler, by a write that blocks) reads late: the data
+// has waited unread, but a request's deadline counts from its arrival. The kernel reports what is readable
+// when a poll returns, so:
 //   - data found by a poll that had to wait arrived when that poll returned;
-//   - data found by a poll that returned at once arrived after the poll before it had returned;
-//   - a poll that returned well past the deadline that was to end it ran on a process that stood still, and
-//     what it found may have arrived since that deadline.
+//   - data found by a poll that returned at once arrived after the previous poll had returned;
+//   - a poll that returned well past its own deadline ran in a process that was stalled, and what it found
+//     may have arrived at any time since that deadline.
 #ifndef BRASSWOOD_BASE_POLL_TIMES_H_
 #define BRASSWOOD_BASE_POLL_TIMES_H_
 
@@ -19,34 +20,34 @@
 
 class PollTimes {
  public:
-  // A poll begins; `due`: the deadline that ends it at the latest, if there is one.
-  void Entered(Time now, std::optional<Time> due) {
-    before_ = returned_.value_or(entered_);
+  // A poll begins. `deadline`: when it returns at the latest, if it has a timeout.
+  void Entered(Time now, std::optional<Time> deadline) {
+    previous_return_ = returned_.value_or(entered_);
     entered_ = now;
-    due_ = due;
+    deadline_ = deadline;
     returned_.reset();
   }
-  // The poll has returned. Only the first call after Entered counts.
+  // The poll has returned. Calls after the first one since Entered are ignored.
   void Returned(Time at) {
     if (!returned_) returned_ = std::max(at, entered_);
   }
   bool has_returned() const { return returned_.has_value(); }
   Time entered() const { return entered_; }
-  // The earliest moment at which what this poll found can have arrived; to be asked after Returned.
+  // The earliest time at which the data that this poll found can have arrived. Call it after Returned.
   Time Arrived() const {
     const Time returned = returned_.value_or(entered_);
-    if (returned - entered_ < kAtOnce) return before_;
-    if (due_ && returned - *due_ > kAtOnce) return std::max(*due_, entered_);
+    if (returned - entered_ < kMinWait) return previous_return_;
+    if (deadline_ && returned - *deadline_ > kMinWait) return std::max(*deadline_, entered_);
     return returned;
   }
 
  private:
-  // Below this a poll has not waited: the loop's own clock is no finer.
-  static constexpr Duration kAtOnce = std::chrono::milliseconds(5);
+  // A poll that took less than this counts as not having waited: the loop's clock is no finer.
+  static constexpr Duration kMinWait = std::chrono::milliseconds(5);
 
-  Time before_{0};   // when the last poll but this one returned, or began where that is not known
-  Time entered_{0};  // when this poll began
-  std::optional<Time> due_;
+  Time previous_return_{0};  // when the previous poll returned, or began if its return is not known
+  Time entered_{0};          // when this poll began
+  std::optional<Time> deadline_;
   std::optional<Time> returned_;
 };
 
