--- a/src/base/send_verdict.h
+++ b/src/base/send_verdict.h
@@ -1,4 +1,5 @@
-// What the guard on attempts (core/send_guard.h) says of one; the log and the counters have its names.
+// The result of the check that each attempt must pass before it is sent (core/send_guard.h). The log and
+// the counters use the names given here.
 #ifndef BRASSWOOD_BASE_SEND_VERDICT_H_
 #define BRASSWOOD_BASE_SEND_VERDICT_H_
 
@@ -7,18 +8,18 @@
 
 namespace brasswood {
 
-// Whether an attempt may be sent, or what forbids it.
+// Whether an attempt may be sent, or the first reason found why not.
 enum class SendVerdict : std::size_t {
   kAllowed,
-  kRequestEnded,    // it has its answer, or was never taken
-  kClientGone,      // nobody waits for its answer
-  kTooLate,         // its request's time, or its window for repeats, is over
-  kAttemptsSpent,   // as many as the settings allow have gone out
-  kAttemptOut,      // another attempt of it is out, and the settings allow one at a time
-  kMayHaveRun,      // it must not run twice, and an earlier attempt may have run
-  kServerUnknown,   // no such server
-  kServerDraining,  // it was told to drain, or removed, and half of the grace is over
-  kServerMoved,     // the connection leads to where it was
+  kRequestEnded,    // the request was answered, or never accepted
+  kClientGone,      // the client has closed its connection
+  kTooLate,         // the request's deadline or its window for repeats has passed
+  kAttemptsSpent,   // the request has used all attempts that the settings allow
+  kAttemptOut,      // another attempt of the request is in flight, and the settings allow one at a time
+  kMayHaveRun,      // the request must not run twice, and an earlier attempt may have run
+  kServerUnknown,   // the server is not listed
+  kServerDraining,  // the server drains or was removed, and half of the grace period is over
+  kServerMoved,     // the connection leads to the server's former address
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(SendVerdict::kCount)> kSendVerdictNames =
