--- a/src/base/stable_hash.h
+++ b/src/base/stable_hash.h
@@ -1,5 +1,5 @@
-// Hashes that are equal at every router, on every server and in every build. Never change what they give:
-// routers of two versions that serve side by side would send a key to two places.
+// Hashes with the same results in every router, on every machine and in every build. Their results must
+// never change: routers of two versions that run side by side would send one key to two different servers.
 #ifndef BRASSWOOD_BASE_STABLE_HASH_H_
 #define BRASSWOOD_BASE_STABLE_HASH_H_
 
@@ -8,7 +8,7 @@
 
 namespace beechledge {
 
-// A stable hash: equal at every balancer, on every server (FNV-1a, then a finisher).
+// Mixes the bits of `x` (the finalizer of SplitMix64).
 inline std::uint64_t Mix(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9ULL;
@@ -16,13 +16,15 @@
   x *= 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-// Random or hashed bits as a number in [0, 1).
+// Maps random or hashed bits to a number in [0, 1).
 inline double Unit(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
+// The hash of a text: FNV-1a, then Mix.
 inline std::uint64_t StableHash(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ULL;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return Mix(h);
 }
+// The hash of a key and a server, by which rendezvous hashing ranks the servers for the key.
 inline std::uint64_t PairHash(std::uint64_t key, std::uint64_t server) {
   return Mix(key ^ (server * 0x9e3779b97f4a7c15ULL));
 }
