--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,4 @@
-// Reading JSON, and a field of an object.
+// Parses JSON and looks up the fields of objects.
 #ifndef BRASSWOOD_CONFIG_JSON_H_
 #define BRASSWOOD_CONFIG_JSON_H_
 
@@ -8,13 +8,13 @@
 
 namespace brasswood {
 
-// All text from outside is read by this. Guards against one that is nested so deeply that reading it level
-// by level would exhaust the stack.
+// Parses any JSON that comes from outside the process. Guards against text that is nested so deeply that a
+// recursive parser would exhaust the stack: the iterative parser uses the heap.
 inline void ReadJson(std::string_view json, rapidjson::Document& out) {
   out.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
 }
 
-// The field of that name; null where it is missing or null.
+// The field called `name`, or nullptr if it is missing or null.
 inline const rapidjson::Value* FindField(const rapidjson::Value& object, const char* name) {
   const auto m = object.FindMember(name);
   return m == object.MemberEnd() || m->value.IsNull() ? nullptr : &m->value;
