--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -18,7 +18,8 @@
 
 using rapidjson::Value;
 
-std::string Text(const Value& in, const char* name, std::string_view variable) {
+// The value of the environment variable if it is set, else the file's string field; empty if neither is.
+std::string StringField(const Value& in, const char* name, std::string_view variable) {
   if (!variable.empty()) return std::string(variable);
   const Value* v = FindField(in, name);
   if (v == nullptr) return {};
@@ -26,8 +27,9 @@
   return {v->GetString(), v->GetStringLength()};
 }
 
-std::string Address(const Value& in, const char* name, std::string_view variable) {
-  std::string text = Text(in, name, variable);
+// The same, where a valid address must be given.
+std::string AddressField(const Value& in, const char* name, std::string_view variable) {
+  std::string text = StringField(in, name, variable);
   if (text.empty()) throw BadConfig(std::string("configuration: \"") + name + "\" is missing");
   if (!ParseAddress(text)) {
     throw BadConfig(std::string("configuration: \"") + name + "\" is not an address and port: " + text);
@@ -35,7 +37,8 @@
   return text;
 }
 
-double Number(const Value* in, const char* name, double fallback) {
+// A field of the optional object "limits".
+double LimitField(const Value* in, const char* name, double fallback) {
   const Value* v = in != nullptr && in->IsObject() ? FindField(*in, name) : nullptr;
   if (v == nullptr) return fallback;
   if (!v->IsNumber() || !(v->GetDouble() > 0)) {
@@ -44,75 +47,84 @@
   return v->GetDouble();
 }
 
-// The seed is hexadecimal; any other text is hashed down to one, as it only has to differ.
-std::uint64_t Seed(const std::string& text) {
+// The seed as a hexadecimal number. Any other text is hashed (FNV-1a): seeds only have to differ between
+// routers.
+std::uint64_t ParseSeed(const std::string& text) {
   char* end = nullptr;
   const std::uint64_t seed = std::strtoull(text.c_str(), &end, 16);
   if (!text.empty() && *end == '\0') return seed;
-  std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return h;
+  std::uint64_t hash = 0xcbf29ce484222325ULL;
+  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+  return hash;
 }
 
-// Longer deadlines count as this one when a process is asked to stop.
-constexpr Duration kCountedDeadline = std::chrono::seconds(3);
+// Deadlines count as at most this long when the time for a shutdown is computed.
+constexpr Duration kMaxShutdownDeadline = std::chrono::seconds(3);
 
-Limits FillLimits(const SettingsRead& s, double memory_mb, double sockets) {
-  Limits l;
-  // A descriptor each for epoll, signals, the listener, discovery and the log, and headroom; the rest is
-  // halved between the two sides.
+Limits ComputeLimits(const SettingsRead& settings, double memory_mb, double sockets) {
+  Limits limits;
+  // Reserves one descriptor each for epoll, signals, the listener, discovery and the log, and some
+  // headroom. Clients and servers get half of the rest each.
   const double reserve = std::min(48.0, sockets / 4);
-  const auto half = static_cast<std::size_t>(std::max(4.0, (sockets - reserve) / 2));
-  l.attempt_conns = half;
-  // Memory by what it is held for, at the worst on all sides at once: a quarter for commands being read,
-  // 36% for open requests with a value and half a one on its way, 14% for answers not yet taken, and the
-  // last quarter for the program, its tables and the allocator.
+  const auto sockets_per_side = static_cast<std::size_t>(std::max(4.0, (sockets - reserve) / 2));
+  limits.attempt_conns = sockets_per_side;
+  // Memory is divided by purpose, so that the worst case in all of them at once fits: 25% for commands
+  // being read, 36% for open requests (one and a half values each), 14% for answers that clients have not
+  // read yet, and the last 25% for the program, its tables and the allocator.
   const double memory = memory_mb * 1024 * 1024;
-  const auto reading = static_cast<double>(l.value + 2 * l.line);
-  l.clients = std::max<std::size_t>(4, std::min(half, static_cast<std::size_t>(0.25 * memory / reading)));
-  l.resting = std::max<std::size_t>(8, static_cast<std::size_t>(sockets / 12));
-  l.resting_again = std::max(l.resting, std::min(static_cast<std::size_t>(sockets / 4), l.clients / 2));
-  const double each = 0.14 * memory / static_cast<double>(l.clients);
-  l.unsent = static_cast<std::size_t>(
-      std::clamp(each, static_cast<double>(l.line), static_cast<double>(l.unsent)));
-  // A little fewer requests than connections on either side, so that each request finds one to a server,
-  // and a client that connects while all requests are open is accepted and told, not left waiting in the
-  // kernel's queue.
-  const double by_memory = 0.36 * memory / (1.5 * static_cast<double>(l.value));
-  const double by_sockets = static_cast<double>(std::min(half, l.clients)) * 0.95;
-  l.requests = static_cast<std::size_t>(
-      std::max(1.0, std::min({by_memory, by_sockets, static_cast<double>(s.module.allowed.max_open)})));
-  // No client takes the whole table: what it sends beyond its part waits unread.
-  l.pipeline = std::clamp<std::size_t>(l.requests / 4, 4, l.pipeline);
-  l.max_attempts = std::max(1, s.module.allowed.max_attempts);
-  if (s.module.allowed.connect_timeout > Duration(0)) l.connect = s.module.allowed.connect_timeout;
-  // Servers close idle connections at this age at the latest. Where a handshake has a price they are kept
-  // until shortly before: among many servers, each met seldom, the next attempt mostly comes late in that
-  // time.
-  if (s.conn_idle > Duration(0)) l.idle = s.conn_idle * (s.module.prices.handshake > 0 ? 9 : 6) / 10;
-  if (s.module.allowed.retry_after) l.max_retry_after = s.module.allowed.max_retry_after;
-  Duration longest{0};
-  Duration aim{0};
-  for (const auto& c : s.module.classes) aim = std::max(aim, Duration(c.aim));
-  if (aim > Duration(0)) l.answer = std::min(l.answer, aim / 8);  // or no other attempt could be in time
-  for (const auto& c : s.module.classes) {
-    longest = std::max(longest, Duration(c.deadline));
-    if (c.stream) l.answer = l.longest_wait;  // a streamed answer comes as it is made
+  const auto command_bytes = static_cast<double>(limits.value + 2 * limits.line);
+  limits.clients = std::max<std::size_t>(
+      4, std::min(sockets_per_side, static_cast<std::size_t>(0.25 * memory / command_bytes)));
+  limits.resting = std::max<std::size_t>(8, static_cast<std::size_t>(sockets / 12));
+  limits.resting_again =
+      std::max(limits.resting, std::min(static_cast<std::size_t>(sockets / 4), limits.clients / 2));
+  const double unsent_per_client = 0.14 * memory / static_cast<double>(limits.clients);
+  limits.unsent = static_cast<std::size_t>(
+      std::clamp(unsent_per_client, static_cast<double>(limits.line), static_cast<double>(limits.unsent)));
+  // 5% fewer requests than connections on either side, so that each request finds a connection to a server,
+  // and a client that connects while the maximum of requests is open is accepted and refused instead of
+  // waiting in the kernel's queue.
+  const double by_memory = 0.36 * memory / (1.5 * static_cast<double>(limits.value));
+  const double by_sockets = static_cast<double>(std::min(sockets_per_side, limits.clients)) * 0.95;
+  limits.requests = static_cast<std::size_t>(std::max(
+      1.0, std::min({by_memory, by_sockets, static_cast<double>(settings.module.allowed.max_open)})));
+  // One client may hold at most a quarter of the requests; further commands from it wait unread.
+  limits.pipeline = std::clamp<std::size_t>(limits.requests / 4, 4, limits.pipeline);
+  limits.max_attempts = std::max(1, settings.module.allowed.max_attempts);
+  if (settings.module.allowed.connect_timeout > Duration(0))
+    limits.connect = settings.module.allowed.connect_timeout;
+  // Servers close connections that have been idle for `conn_idle`, so the router closes them at 60% of it.
+  // Where a handshake has a price they are kept for 90%: with many servers the next attempt to any one of
+  // them usually comes late in that time.
+  if (settings.conn_idle > Duration(0))
+    limits.idle = settings.conn_idle * (settings.module.prices.handshake > 0 ? 9 : 6) / 10;
+  if (settings.module.allowed.retry_after) limits.max_retry_after = settings.module.allowed.max_retry_after;
+  Duration longest_deadline{0};
+  Duration longest_aim{0};
+  for (const auto& request_class : settings.module.classes)
+    longest_aim = std::max(longest_aim, Duration(request_class.aim));
+  // An answer that stalls is given up early enough for another attempt to be in time.
+  if (longest_aim > Duration(0)) limits.answer = std::min(limits.answer, longest_aim / 8);
+  for (const auto& request_class : settings.module.classes) {
+    longest_deadline = std::max(longest_deadline, Duration(request_class.deadline));
+    if (request_class.stream) limits.answer = limits.longest_wait;  // it is sent while it is generated
   }
-  if (longest > Duration(0)) l.default_wait = longest;
-  // A process that was asked to stop may be killed once the longest deadline (at most kCountedDeadline) and
-  // 0.7 s are over. What was taken in time has its whole deadline; the 0.2 s that are left are for a
-  // process that is held up, and for its last answers.
-  l.stop_within = l.linger + std::min(l.default_wait, kCountedDeadline);
-  // News counts as told a little after a waiting call's end, come or not: no wait beyond half of what
-  // the rules let a router go without asking.
-  if (s.module.rules.ask_within > Duration(0)) {
-    l.watch = std::min(l.watch, Duration(s.module.rules.ask_within / 2));
+  if (longest_deadline > Duration(0)) limits.default_wait = longest_deadline;
+  // A process that was asked to stop may be killed after the longest deadline (at most
+  // kMaxShutdownDeadline) plus 0.7 s. A request that was accepted during `linger` (0.5 s) keeps its whole
+  // deadline; the remaining 0.2 s allow for a process that is stalled, and for its last answers.
+  limits.stop_within = limits.linger + std::min(limits.default_wait, kMaxShutdownDeadline);
+  // An update counts as received shortly after the end of the watch that should have returned it, whether
+  // or not it arrived. So a watch waits at most half of the longest time that the rules allow without a
+  // call.
+  if (settings.module.rules.ask_within > Duration(0)) {
+    limits.watch = std::min(limits.watch, Duration(settings.module.rules.ask_within / 2));
   }
-  return l;
+  return limits;
 }
 
-std::string_view Variable(const char* name) {
+// The value of the environment variable; empty if it is not set.
+std::string_view EnvironmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? std::string_view() : std::string_view(value);
 }
@@ -121,56 +133,59 @@
 
 Config ReadConfig(std::string_view json, std::string_view name, std::string_view listen,
                   std::string_view discovery, std::string_view admin) {
-  rapidjson::Document in;
-  ReadJson(json, in);
-  if (in.HasParseError()) {
-    throw BadConfig(std::string("configuration: ") + rapidjson::GetParseError_En(in.GetParseError()) +
-                    " (at byte " + std::to_string(in.GetErrorOffset()) + ")");
+  rapidjson::Document document;
+  ReadJson(json, document);
+  if (document.HasParseError()) {
+    throw BadConfig(std::string("configuration: ") + rapidjson::GetParseError_En(document.GetParseError()) +
+                    " (at byte " + std::to_string(document.GetErrorOffset()) + ")");
   }
-  if (!in.IsObject()) throw BadConfig("configuration: not a JSON object");
-  Config c;
-  c.name = Text(in, "name", name);
-  c.listen = Address(in, "listen", listen);
-  c.discovery = Address(in, "discovery", discovery);
-  c.seed = Seed(Text(in, "seed", {}));
-  // The door is there where it is named, and not otherwise: older deployments have none.
-  if (!Text(in, "admin_addr", admin).empty()) c.admin = Address(in, "admin_addr", admin);
-  const Value* settings = FindField(in, "settings");
+  if (!document.IsObject()) throw BadConfig("configuration: not a JSON object");
+  Config config;
+  config.name = StringField(document, "name", name);
+  config.listen = AddressField(document, "listen", listen);
+  config.discovery = AddressField(document, "discovery", discovery);
+  config.seed = ParseSeed(StringField(document, "seed", {}));
+  // Older deployments configure no address for the admin interface; they run without it.
+  if (!StringField(document, "admin_addr", admin).empty()) {
+    config.admin = AddressField(document, "admin_addr", admin);
+  }
+  const Value* settings = FindField(document, "settings");
   if (settings == nullptr || !settings->IsObject()) {
     throw BadConfig("configuration: \"settings\" is missing or not an object");
   }
-  c.settings = ReadSettings(*settings);
-  // A list that is pushed reaches a real router no other way than one that is asked for: on the watch it
-  // holds. Guards against never calling at all.
-  c.settings.module.list_agent = !c.settings.module.list_must_be_asked;
-  c.settings.module.list_must_be_asked = true;
-  if (c.settings.names.classes.empty()) throw BadConfig("configuration: the settings name no classes");
-  const Value* limits = FindField(in, "limits");
-  c.limits = FillLimits(c.settings, Number(limits, "memory_mb", 192), Number(limits, "sockets", 1024));
-  if (const Value* known = FindField(in, "known")) {
+  config.settings = ReadSettings(*settings);
+  // Even a list that is said to be pushed reaches a real router only in answer to its calls. Guards against
+  // a router that never calls discovery at all.
+  config.settings.module.list_agent = !config.settings.module.list_must_be_asked;
+  config.settings.module.list_must_be_asked = true;
+  if (config.settings.names.classes.empty()) throw BadConfig("configuration: the settings name no classes");
+  const Value* limits = FindField(document, "limits");
+  config.limits = ComputeLimits(config.settings, LimitField(limits, "memory_mb", 192),
+                                LimitField(limits, "sockets", 1024));
+  if (const Value* known = FindField(document, "known")) {
     std::string why;
-    const auto list = ReadServerList(*known, c.settings.names, c.limits, why);
+    const auto list = ReadServerList(*known, config.settings.names, config.limits, why);
     if (!list) throw BadConfig("configuration: \"known\": " + why);
-    c.known = *list;
+    config.known = *list;
   }
-  return c;
+  return config;
 }
 
 namespace {
 
-Config FromFile(std::string_view discovery) {
-  const std::string path(Variable("PROXY_CONFIG"));
+Config ReadConfigFile(std::string_view discovery) {
+  const std::string path(EnvironmentVariable("PROXY_CONFIG"));
   if (path.empty()) throw BadConfig("configuration: PROXY_CONFIG is not set");
   std::ifstream file(path);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw BadConfig("configuration: cannot read " + path);
-  return ReadConfig(text.str(), Variable("PROXY_NAME"), Variable("PROXY_LISTEN"), discovery,
-                    Variable("PROXY_ADMIN_ADDR"));
+  return ReadConfig(text.str(), EnvironmentVariable("PROXY_NAME"), EnvironmentVariable("PROXY_LISTEN"),
+                    discovery, EnvironmentVariable("PROXY_ADMIN_ADDR"));
 }
 
 }  // namespace
 
-Config LoadConfig() { return FromFile(Variable("PROXY_DISCOVERY")); }
-Config ReloadConfig() { return FromFile({}); }
+Config LoadConfig() { return ReadConfigFile(EnvironmentVariable("PROXY_DISCOVERY")); }
+Config ReloadConfig() { return ReadConfigFile({}); }
 
 }  // namespace brasswood
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// What a router is told at its start: the PROXY_* variables and the configuration file.
+// The router's configuration: the PROXY_* environment variables and the configuration file.
 #ifndef BRASSWOOD_CONFIG_CONFIG_H_
 #define BRASSWOOD_CONFIG_CONFIG_H_
 
@@ -13,30 +13,32 @@
 
 namespace brasswood {
 
-// what() is the one plain line for standard error.
+// The configuration is unusable. what() is a one-line message for standard error.
 class BadConfig : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string name, listen, discovery;  // addresses are "a.b.c.d:port"
-  std::string admin;                    // the operators' door; empty: there is none
-  std::uint64_t seed = 0;
+  std::string name;
+  std::string listen, discovery;  // addresses, "a.b.c.d:port"
+  std::string admin;              // address of the admin interface; empty: there is none
+  std::uint64_t seed = 0;         // of the router's random choices
   SettingsRead settings;
-  ServerList known;
+  ServerList known;  // the servers to use until discovery has answered
   Limits limits;
 };
 
-// From the text of the file; the variables, where not empty, go before what the file says.
+// Parses the text of the configuration file. The other arguments are the values of the environment
+// variables; each that is not empty overrides the file.
 Config ReadConfig(std::string_view json, std::string_view name, std::string_view listen,
                   std::string_view discovery, std::string_view admin = {});
 
-// From the environment: PROXY_CONFIG names the file.
+// Reads the file that PROXY_CONFIG names, with the other PROXY_* variables applied.
 Config LoadConfig();
 
-// The same file read again while the router runs. PROXY_DISCOVERY speaks of the start only: the file alone
-// says where discovery is by now.
+// Reads the same file again while the router runs. PROXY_DISCOVERY is ignored, because it describes the
+// start only: discovery may have moved since, and only the file can have been updated.
 Config ReloadConfig();
 
 }  // namespace brasswood
