--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -15,45 +15,49 @@
 using beechledge::RequestClass;
 using rapidjson::Value;
 
-const Value kNothing;
+const Value kNull;
 
-const Value& Sub(const Value& in, const char* name) {
-  if (!in.IsObject()) return kNothing;
-  const auto m = in.FindMember(name);
-  return m == in.MemberEnd() ? kNothing : m->value;
+// The readers below return `fallback`, or an empty value, if the field is missing or of another type.
+
+const Value& Field(const Value& in, const char* name) {
+  if (!in.IsObject()) return kNull;
+  const auto member = in.FindMember(name);
+  return member == in.MemberEnd() ? kNull : member->value;
 }
 
-std::int64_t Int(const Value& in, const char* name, std::int64_t fallback) {
-  const Value& v = Sub(in, name);
+// Integers out of range are clamped.
+std::int64_t Int64Field(const Value& in, const char* name, std::int64_t fallback) {
+  const Value& v = Field(in, name);
   if (v.IsInt64()) return v.GetInt64();
   if (v.IsUint64()) return INT64_MAX;
-  if (v.IsDouble() && v.GetDouble() == std::floor(v.GetDouble())) {  // a whole number written with a point
+  if (v.IsDouble() && v.GetDouble() == std::floor(v.GetDouble())) {  // an integer such as 5.0
     const double d = v.GetDouble();
     return d >= 9.2e18 ? INT64_MAX : d <= -9.2e18 ? INT64_MIN : static_cast<std::int64_t>(d);
   }
   return fallback;
 }
-int Small(const Value& in, const char* name, int fallback) {
-  return static_cast<int>(std::clamp<std::int64_t>(Int(in, name, fallback), INT32_MIN, INT32_MAX));
+int Int32Field(const Value& in, const char* name, int fallback) {
+  return static_cast<int>(std::clamp<std::int64_t>(Int64Field(in, name, fallback), INT32_MIN, INT32_MAX));
 }
-double Double(const Value& in, const char* name, double fallback) {
-  const Value& v = Sub(in, name);
+double DoubleField(const Value& in, const char* name, double fallback) {
+  const Value& v = Field(in, name);
   return v.IsNumber() ? v.GetDouble() : fallback;
 }
-bool Flag(const Value& in, const char* name, bool fallback) {
-  const Value& v = Sub(in, name);
+bool BoolField(const Value& in, const char* name, bool fallback) {
+  const Value& v = Field(in, name);
   return v.IsBool() ? v.GetBool() : fallback;
 }
-std::string_view Text(const Value& in, const char* name) {
-  const Value& v = Sub(in, name);
+std::string_view StringField(const Value& in, const char* name) {
+  const Value& v = Field(in, name);
   return v.IsString() ? std::string_view(v.GetString(), v.GetStringLength()) : std::string_view();
 }
-Duration Span(const Value& in, const char* name, Duration fallback) {
-  return Duration(Int(in, name, fallback.count()));
+// Durations are given in nanoseconds.
+Duration DurationField(const Value& in, const char* name, Duration fallback) {
+  return Duration(Int64Field(in, name, fallback.count()));
 }
-std::vector<std::string> Texts(const Value& in, const char* name) {
+std::vector<std::string> StringsField(const Value& in, const char* name) {
   std::vector<std::string> out;
-  const Value& v = Sub(in, name);
+  const Value& v = Field(in, name);
   if (!v.IsArray()) return out;
   for (const Value& item : v.GetArray()) {
     out.push_back(item.IsString() ? std::string(item.GetString(), item.GetStringLength()) : std::string());
@@ -61,98 +65,99 @@
   return out;
 }
 
-RequestClass ReadClass(const Value& c) {
-  RequestClass k;
-  k.aim = Span(c, "aim", k.aim);
-  k.deadline = Span(c, "give_up", k.deadline);
-  k.aim_stretch = Double(c, "aim_stretch", 0);
-  k.worth = Double(c, "points", k.worth);
-  k.late_worth = Double(c, "late_value", 0);
-  const std::string_view effect = Text(c, "effect");
-  k.effect = effect == "free" ? Effect::kSafe : effect == "guarded" ? Effect::kKeyed : Effect::kUnsafe;
-  const std::string_view group = Text(c, "dedup_scope");
-  k.group = group == "all" ? Group::kAll : group == "zone" ? Group::kZone : Group::kCell;
-  k.window = Span(c, "window", k.window);
-  k.stream = Flag(c, "stream", false);
-  return k;
+RequestClass ReadClass(const Value& in) {
+  RequestClass result;
+  result.aim = DurationField(in, "aim", result.aim);
+  result.deadline = DurationField(in, "give_up", result.deadline);
+  result.aim_stretch = DoubleField(in, "aim_stretch", 0);
+  result.worth = DoubleField(in, "points", result.worth);
+  result.late_worth = DoubleField(in, "late_value", 0);
+  const std::string_view effect = StringField(in, "effect");
+  result.effect = effect == "free" ? Effect::kSafe : effect == "guarded" ? Effect::kKeyed : Effect::kUnsafe;
+  const std::string_view group = StringField(in, "dedup_scope");
+  result.group = group == "all" ? Group::kAll : group == "zone" ? Group::kZone : Group::kCell;
+  result.window = DurationField(in, "window", result.window);
+  result.stream = BoolField(in, "stream", false);
+  return result;
 }
 
 }  // namespace
 
 SettingsRead ReadSettings(const Value& in) {
   using namespace beechledge;
-  SettingsRead read;
-  Settings& s = read.module;
-  s.balancers = Small(in, "balancers", s.balancers);
-  s.me = Small(in, "me", s.me);
-  s.zone = Small(in, "locality", s.zone);
-  read.names.zones = Texts(in, "zones");
-  read.names.kinds = Texts(in, "shapes");
-  if (Sub(in, "zones").IsArray()) s.zones = static_cast<int>(read.names.zones.size());
-  if (const Value& classes = Sub(in, "classes"); classes.IsArray()) {
-    for (const Value& c : classes.GetArray()) {
-      s.classes.push_back(ReadClass(c));
-      read.names.classes.emplace_back(Text(c, "name"));
+  SettingsRead result;
+  Settings& settings = result.module;
+  settings.balancers = Int32Field(in, "balancers", settings.balancers);
+  settings.me = Int32Field(in, "me", settings.me);
+  settings.zone = Int32Field(in, "locality", settings.zone);
+  result.names.zones = StringsField(in, "zones");
+  result.names.kinds = StringsField(in, "shapes");
+  if (Field(in, "zones").IsArray()) settings.zones = static_cast<int>(result.names.zones.size());
+  if (const Value& classes = Field(in, "classes"); classes.IsArray()) {
+    for (const Value& item : classes.GetArray()) {
+      settings.classes.push_back(ReadClass(item));
+      result.names.classes.emplace_back(StringField(item, "name"));
     }
   }
-  if (const Value& tenants = Sub(in, "tenants"); tenants.IsArray()) {
-    for (const Value& t : tenants.GetArray()) {
-      s.tenants.push_back({Double(t, "portion", 1), Double(t, "allowance_per_s", 0)});
-      read.names.tenants.emplace_back(Text(t, "name"));
+  if (const Value& tenants = Field(in, "tenants"); tenants.IsArray()) {
+    for (const Value& item : tenants.GetArray()) {
+      settings.tenants.push_back(
+          {DoubleField(item, "portion", 1), DoubleField(item, "allowance_per_s", 0)});
+      result.names.tenants.emplace_back(StringField(item, "name"));
     }
   }
-  s.over_share_worth = Double(in, "over_share_worth", s.over_share_worth);
-  s.worth_by_work = Text(in, "worth_by") == "work";
-  s.list_must_be_asked = Text(in, "registry_mode") == "on_request";
-  const Value& info = Sub(in, "family_info");
-  s.origin = Text(info, "mode") == "aside" ? Origin::kAside : Origin::kThrough;
-  s.origin_kind = Small(info, "origin_kind", -1);
-  s.origin_fall_multiple = Double(info, "origin_fall_multiple", 0);
-  s.origin_fall = Span(info, "origin_fall", s.origin_fall);
-  const std::string_view source = Text(Sub(in, "telemetry"), "source");
-  s.reports = source == "answers" ? ReportSource::kAnswers
-              : source == "probe" ? ReportSource::kProbe
-                                  : ReportSource::kNone;
-  const std::string_view weights = Text(in, "weights");
-  s.weights = weights == "nominal" ? Weights::kNominal
-              : weights == "rough" ? Weights::kRough
-              : weights == "live"  ? Weights::kLive
-                                   : Weights::kNone;
-  s.retry_marked = Flag(Sub(in, "callers"), "marks_retry", false);
-  const Value& a = Sub(in, "allowed");
-  s.allowed.cancel = Flag(a, "cancel", false);
-  s.allowed.probes = Flag(a, "probes", false);
-  s.allowed.peers = Flag(a, "peers", false);
-  s.allowed.parallel_tries = Flag(a, "parallel_tries", false);
-  s.allowed.retry_after = Flag(a, "retry_after", false);
-  s.allowed.max_attempts = Small(a, "max_attempts", s.allowed.max_attempts);
-  s.allowed.max_open = Small(a, "open_cap", s.allowed.max_open);
-  s.allowed.max_retry_after = Span(a, "max_retry_after", Duration(0));
-  s.allowed.connect_timeout = Span(a, "connect_timeout", Duration(0));
-  read.conn_idle = Span(a, "conn_idle", Duration(0));
-  const Value& r = Sub(in, "safety");
-  s.rules.answer_slack = Span(r, "answer_slack", s.rules.answer_slack);
-  s.rules.ask_within = Span(r, "ask_within", s.rules.ask_within);
-  s.rules.drain_grace = Span(r, "drain_grace", s.rules.drain_grace);
-  s.rules.cold_from = Double(r, "cold_from", s.rules.cold_from);
-  s.rules.ramp = Span(r, "ramp_time", s.rules.ramp);
-  s.rules.fall_multiple = Double(r, "fall_multiple", s.rules.fall_multiple);
-  s.rules.fall = Span(r, "fall", s.rules.fall);
-  const Value& p = Sub(in, "fees");
-  s.prices.cross_zone = Double(p, "cross_zone", 0);
-  s.prices.waste = Double(p, "waste", 0);
-  s.prices.origin = Double(p, "origin", 0);
-  s.prices.probe = Double(p, "probe", 0);
-  s.prices.late_fail = Double(p, "late_fail", 0);
-  s.prices.handshake = Double(p, "handshake", 0);
-  s.tick = Span(in, "round", s.tick);
-  return read;
+  settings.over_share_worth = DoubleField(in, "over_share_worth", settings.over_share_worth);
+  settings.worth_by_work = StringField(in, "worth_by") == "work";
+  settings.list_must_be_asked = StringField(in, "registry_mode") == "on_request";
+  const Value& info = Field(in, "family_info");
+  settings.origin = StringField(info, "mode") == "aside" ? Origin::kAside : Origin::kThrough;
+  settings.origin_kind = Int32Field(info, "origin_kind", -1);
+  settings.origin_fall_multiple = DoubleField(info, "origin_fall_multiple", 0);
+  settings.origin_fall = DurationField(info, "origin_fall", settings.origin_fall);
+  const std::string_view source = StringField(Field(in, "telemetry"), "source");
+  settings.reports = source == "answers" ? ReportSource::kAnswers
+                     : source == "probe" ? ReportSource::kProbe
+                                         : ReportSource::kNone;
+  const std::string_view weights = StringField(in, "weights");
+  settings.weights = weights == "nominal" ? Weights::kNominal
+                     : weights == "rough" ? Weights::kRough
+                     : weights == "live"  ? Weights::kLive
+                                          : Weights::kNone;
+  settings.retry_marked = BoolField(Field(in, "callers"), "marks_retry", false);
+  const Value& allowed = Field(in, "allowed");
+  settings.allowed.cancel = BoolField(allowed, "cancel", false);
+  settings.allowed.probes = BoolField(allowed, "probes", false);
+  settings.allowed.peers = BoolField(allowed, "peers", false);
+  settings.allowed.parallel_tries = BoolField(allowed, "parallel_tries", false);
+  settings.allowed.retry_after = BoolField(allowed, "retry_after", false);
+  settings.allowed.max_attempts = Int32Field(allowed, "max_attempts", settings.allowed.max_attempts);
+  settings.allowed.max_open = Int32Field(allowed, "open_cap", settings.allowed.max_open);
+  settings.allowed.max_retry_after = DurationField(allowed, "max_retry_after", Duration(0));
+  settings.allowed.connect_timeout = DurationField(allowed, "connect_timeout", Duration(0));
+  result.conn_idle = DurationField(allowed, "conn_idle", Duration(0));
+  const Value& safety = Field(in, "safety");
+  settings.rules.answer_slack = DurationField(safety, "answer_slack", settings.rules.answer_slack);
+  settings.rules.ask_within = DurationField(safety, "ask_within", settings.rules.ask_within);
+  settings.rules.drain_grace = DurationField(safety, "drain_grace", settings.rules.drain_grace);
+  settings.rules.cold_from = DoubleField(safety, "cold_from", settings.rules.cold_from);
+  settings.rules.ramp = DurationField(safety, "ramp_time", settings.rules.ramp);
+  settings.rules.fall_multiple = DoubleField(safety, "fall_multiple", settings.rules.fall_multiple);
+  settings.rules.fall = DurationField(safety, "fall", settings.rules.fall);
+  const Value& fees = Field(in, "fees");
+  settings.prices.cross_zone = DoubleField(fees, "cross_zone", 0);
+  settings.prices.waste = DoubleField(fees, "waste", 0);
+  settings.prices.origin = DoubleField(fees, "origin", 0);
+  settings.prices.probe = DoubleField(fees, "probe", 0);
+  settings.prices.late_fail = DoubleField(fees, "late_fail", 0);
+  settings.prices.handshake = DoubleField(fees, "handshake", 0);
+  settings.tick = DurationField(in, "round", settings.tick);
+  return result;
 }
 
 SettingsRead ReadSettings(std::string_view json) {
   rapidjson::Document document;
   ReadJson(json, document);
-  return ReadSettings(document.HasParseError() ? kNothing : static_cast<const Value&>(document));
+  return ReadSettings(document.HasParseError() ? kNull : static_cast<const Value&>(document));
 }
 
 }  // namespace brasswood
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,5 +1,5 @@
-// The one reader of the settings object, which both the real router (config.json) and the simulator adapter
-// (its first message) are given, with the same names and units.
+// Reads the settings object. The real router (in its configuration file) and the simulator adapter (in its
+// first message) are given the same object, with the same names and units.
 #ifndef BRASSWOOD_CONFIG_SETTINGS_H_
 #define BRASSWOOD_CONFIG_SETTINGS_H_
 
@@ -13,7 +13,8 @@
 
 namespace brasswood {
 
-// The names that stand for the module's indexes.
+// The names of request classes, tenants, zones and server models. The module refers to each by its index
+// here.
 struct Names {
   std::vector<std::string> classes, tenants, zones, kinds;
 };
@@ -21,10 +22,11 @@
 struct SettingsRead {
   beechledge::Settings module;
   Names names;
+  // Servers close connections that have been idle for this long; 0: not stated.
   beechledge::Duration conn_idle{0};
 };
 
-// Lenient: what is missing or of the wrong type takes its default.
+// Never fails: a setting that is missing or of the wrong type keeps its default.
 SettingsRead ReadSettings(const rapidjson::Value& in);
 SettingsRead ReadSettings(std::string_view json);
 
