--- a/src/admin/live_marks.h
+++ b/src/admin/live_marks.h
@@ -1,9 +1,9 @@
 // Which processes of this router are alive now: each one keeps a mark under the shared $TMPDIR,
 // `brasswood-NAME.live.PID`, and renews its time at every beat. A mark that is not seen to change for
-// `Limits::live_stale` is of a process that has gone, however it ended; its time itself says nothing, as
-// the wall clock may have stepped since. Used during a replacement, when an old and a new process of one
-// router run side by side and share its limits; routers never learn of each other this way, as each has its
-// own name.
+// `Limits::heartbeat_timeout` is of a process that has gone, however it ended; its time itself says
+// nothing, as the wall clock may have stepped since. Used during a replacement, when an old and a new
+// process of one router run side by side and share its limits; routers never learn of each other this way,
+// as each has its own name.
 #ifndef BRASSWOOD_ADMIN_LIVE_MARKS_H_
 #define BRASSWOOD_ADMIN_LIVE_MARKS_H_
 
--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -35,13 +35,13 @@
   if (!disk_) return;
   AskDisk();
   // Nothing is served yet. Guards against a start that a dead disk holds up for good.
-  if (disk_->Await([this] { return restored_; }, limits_.state_told)) return;
+  if (disk_->Await([this] { return restored_; }, limits_.state_disk_timeout)) return;
   complained_ = true;
   LogLine(Level::kWarn) << "operator state not read yet: the disk does not answer";
 }
 
 void Operator::Follow() {
-  if (disk_) deadlines_.Set(now_() + limits_.state_look, [this] { Look(); });
+  if (disk_) deadlines_.Set(now_() + limits_.state_poll_interval, [this] { Look(); });
 }
 
 void Operator::AskDisk() {
@@ -82,11 +82,11 @@
 }
 
 void Operator::Look() {
-  deadlines_.Set(now_() + limits_.state_look, [this] { Look(); });
+  deadlines_.Set(now_() + limits_.state_poll_interval, [this] { Look(); });
   disk_->Deliver();
   if (said_ != kept_ && !disk_->Has("save")) Save();
   if (!disk_->Has("look")) AskDisk();
-  if (disk_->Stuck() > limits_.state_told && !std::exchange(complained_, true)) {
+  if (disk_->Stuck() > limits_.state_disk_timeout && !std::exchange(complained_, true)) {
     LogLine(Level::kWarn) << "operator state held in memory only: the disk does not answer";
   }
 }
@@ -111,7 +111,7 @@
   if (!ok && !std::exchange(complained_, true)) {
     LogLine(Level::kWarn)
         << "operator state held in memory only, tried again each "
-        << std::chrono::duration_cast<std::chrono::milliseconds>(limits_.state_look).count()
+        << std::chrono::duration_cast<std::chrono::milliseconds>(limits_.state_poll_interval).count()
         << " ms: " << why;
   }
 }
@@ -127,7 +127,7 @@
 }
 
 void Operator::WhenKept(std::function<void(const std::string& why)> then) {
-  waiters_.push_back({said_, now_() + limits_.state_told, std::move(then)});
+  waiters_.push_back({said_, now_() + limits_.state_disk_timeout, std::move(then)});
   if (!std::exchange(polling_, true)) Poll();
 }
 
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -1,8 +1,8 @@
 // What the door's calls do to this router: figures from the counters, bans laid on the engine, and the
 // drain of the clients' front. Operator state (the bans) is kept in the shared state file, so that a
 // replacement process takes it over and the two processes of a replacement agree: each writes it at every
-// change and reads it again at every `Limits::state_look`. All that touches the disk is done on a thread of
-// its own: a disk that is full, broken or stalled holds nobody up.
+// change and reads it again at every `Limits::state_poll_interval`. All that touches the disk is done on a
+// thread of its own: a disk that is full, broken or stalled holds nobody up.
 #ifndef BRASSWOOD_ADMIN_OPERATOR_H_
 #define BRASSWOOD_ADMIN_OPERATOR_H_
 
@@ -39,9 +39,9 @@
            std::unique_ptr<StateFile> file, std::unique_ptr<LiveMarks> marks = nullptr);
 
   // Takes over what the file holds; before the first list, so that no attempt goes to a banned server.
-  // Waits for the disk, `Limits::state_told` at most.
+  // Waits for the disk, `Limits::state_disk_timeout` at most.
   void Restore();
-  // Reads the file again from now on, every `Limits::state_look`.
+  // Reads the file again from now on, every `Limits::state_poll_interval`.
   void Follow();
 
   bool Ready() const override;
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -1,4 +1,5 @@
-// Every size, count and time that bounds the router, in one place: filled at the start and handed down.
+// All sizes, counts and times that bound the router, in one place. They are set once at the start, except
+// for the shares of LimitsPerProcess, and passed to all parts.
 #ifndef BRASSWOOD_CONFIG_LIMITS_H_
 #define BRASSWOOD_CONFIG_LIMITS_H_
 
@@ -11,78 +12,124 @@
 namespace brasswood {
 
 struct Limits {
-  // Sizes of what is read, in bytes.
-  std::size_t value =
-      64 * 1024;  // a value, either way, taken whole; a larger answer is passed on in pieces
-  std::size_t stream_most = 64 << 20;      // a value passed on in pieces
-  std::size_t stream_window = 256 * 1024;  // of such a value, waiting for its client; past it, not read
-  std::size_t line = 4096;                 // a command or answer line
-  std::size_t key = 250;                   // memcache's own bound
-  std::size_t http_head = 16 * 1024;       // status line and headers of an HTTP answer
-  std::size_t list = 8 << 20;              // a server list
-  std::size_t unsent = 1 << 20;            // answers waiting for one client; past it, it is not read
-  std::size_t discard = 80 << 20;          // read from a client after its last answer, and thrown away
-
-  // Counts.
-  std::size_t servers = 4096;       // in one list
-  std::size_t pipeline = 128;       // commands of one client without their answer
-  std::size_t interim = 8;          // interim answers (1xx) before an answer
-  std::size_t requests = 2048;      // open at once
-  std::size_t clients = 480;        // connections held
-  std::size_t resting = 40;         // clients with nothing open, past `brief`; the others give way
-  std::size_t resting_again = 120;  // the same, of those that have returned from a rest before
-  std::size_t attempt_conns = 480;  // connections to servers, idle ones included
+  // Maximum sizes, in bytes.
+
+  // A value that is read whole before it is passed on, in either direction. Larger answers are streamed.
+  std::size_t value = 64 * 1024;
+  std::size_t stream_most = 64 << 20;  // a streamed value
+  // Bytes of a streamed value that wait for the client. Above this the server's connection is not read, so
+  // that a slow client does not make the router hold the whole value.
+  std::size_t stream_window = 256 * 1024;
+  std::size_t line = 4096;            // a line of a command or an answer
+  std::size_t key = 250;              // a key; memcached's own limit
+  std::size_t http_head = 16 * 1024;  // status line and headers of an HTTP answer
+  std::size_t list = 8 << 20;         // a server list
+  std::size_t unsent = 1 << 20;       // answers that wait for one client; above this it is not read
+  // What a client sends after its last answer; it is read and dropped. Closing a socket with unread input
+  // sends a reset, which could destroy the answer before the client has read it.
+  std::size_t discard = 80 << 20;
+
+  // Maximum counts.
+
+  std::size_t servers = 4096;   // entries of one server list
+  std::size_t pipeline = 128;   // unanswered commands of one client
+  std::size_t interim = 8;      // interim (1xx) answers before the final HTTP answer
+  std::size_t requests = 2048;  // open requests
+  std::size_t clients = 480;    // client connections
+  // Idle client connections. Above this the one that has been idle for longest is closed, so that clients
+  // that open a connection for each command and keep the old ones cannot fill the table.
+  std::size_t resting = 40;
+  // The same for connections that were used again after having been idle: closing them costs their clients
+  // a new connection, so more of them are kept.
+  std::size_t resting_again = 120;
+  std::size_t attempt_conns = 480;  // connections to servers, including idle ones
   int max_attempts = 1;             // attempts of one request
-  std::size_t door_callers = 16;    // connections to the operators' door; the oldest makes way
+  std::size_t door_callers = 16;  // connections to the admin interface; the oldest is closed for a new one
 
   // Times.
-  Duration connect{std::chrono::milliseconds(200)};
-  Duration transit{std::chrono::milliseconds(25)};  // from an attempt's last byte leaving to its arrival
-  Duration idle{std::chrono::seconds(3)};           // a kept connection rests this long at most
-  Duration probe{std::chrono::milliseconds(250)};   // a probe is answered within this, or failed
-  Duration speak{std::chrono::milliseconds(2500)};  // a client's command is whole within this
-  Duration rest{std::chrono::seconds(4)};           // a client with nothing open is kept this long
-  Duration brief{std::chrono::milliseconds(50)};   // a client that was answered may rest this long at least
-  Duration hurry{std::chrono::milliseconds(250)};  // in a full table, a silent one goes after this
-  Duration hang_up{std::chrono::seconds(2)};       // after its last answer a client closes within this
-  Duration gone_look{std::chrono::milliseconds(40)};  // one that is not read is looked at for its close
-  Duration answer{std::chrono::milliseconds(500)};    // an answer begun goes on within this, or is spoilt
-  Duration settle{
-      std::chrono::milliseconds(25)};         // what spoils a resting connection mostly comes this soon
-  Duration forget{std::chrono::seconds(15)};  // a server gone for this long is forgotten
-  Duration stream_stall{std::chrono::seconds(2)};   // a value in pieces whose server says nothing this long
-  Duration write_stall{std::chrono::seconds(10)};   // a client that takes nothing for this long goes
-  Duration default_wait{std::chrono::seconds(4)};   // of a request that states none
-  Duration longest_wait{std::chrono::seconds(60)};  // of any request
-  // A call to discovery. What a router misses counts as told 6 s after it happened; how these add up with
-  // the waits between calls is seen to in discovery/list_refresher.h.
-  Duration watch{std::chrono::milliseconds(3000)};        // discovery may hold a watch this long,
-  Duration watch_spread{std::chrono::milliseconds(500)};  // and up to this much less, by router
-  Duration call_grace{std::chrono::milliseconds(1000)};   // and this long beyond it: then it is silent
-  Duration call_up{std::chrono::milliseconds(1000)};      // a connection comes up within this
-  Duration call_answer{std::chrono::milliseconds(1500)};  // an answer that has begun goes on within this
-  Duration linger{std::chrono::milliseconds(500)};        // after SIGTERM, new work is taken this long,
-  Duration stop_within{
-      std::chrono::milliseconds(3500)};                 // and all is answered and the process ends by then
-  Duration held_up{std::chrono::milliseconds(200)};     // a process may have stood still for so long
-  Duration last_words{std::chrono::milliseconds(50)};   // then, for answers on their way
-  Duration max_retry_after{0};                          // 0: clients are not told when to come back
-  Duration door_call{std::chrono::milliseconds(500)};   // a door call is whole this soon after its accept
-  Duration door_linger{std::chrono::seconds(1)};        // and its caller takes the answer within this
-  Duration put_back{std::chrono::milliseconds(50)};     // from the yes to a resume until its server is used
-  Duration state_told{std::chrono::milliseconds(300)};  // a call waits so long to say whether it is stored
-  Duration state_look{std::chrono::milliseconds(250)};  // how often the shared operator state is read
-  std::chrono::milliseconds live_stale{1000};           // a process mark not renewed this long: it has gone
+
+  Duration connect{std::chrono::milliseconds(200)};  // to connect to a server
+  // From sending the last byte of an attempt to its arrival at the server. A repeat must arrive within the
+  // deduplication window of the first attempt, so it is sent this much before the window ends at the
+  // latest.
+  Duration transit{std::chrono::milliseconds(25)};
+  Duration idle{std::chrono::seconds(3)};          // an idle connection to a server is kept this long
+  Duration probe{std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
+  // For a client's complete command, from its connection or from the command's first byte.
+  Duration speak{std::chrono::milliseconds(2500)};
+  Duration rest{std::chrono::seconds(4)};  // a client connection may be idle this long
+  // A client connection is idle for at least this long before `resting` or `resting_again` closes it: the
+  // next command often follows the answer at once.
+  Duration brief{std::chrono::milliseconds(50)};
+  // In a full table of clients, one may be evicted if it has sent no complete command for this long. A
+  // newer one is about to send its command.
+  Duration hurry{std::chrono::milliseconds(250)};
+  Duration hang_up{std::chrono::seconds(2)};  // for a client to close after its last answer
+  // How often a client whose connection is not being read is checked for having closed it.
+  Duration gone_look{std::chrono::milliseconds(40)};
+  // An answer whose first bytes have come must go on within this, or it counts as malformed.
+  Duration answer{std::chrono::milliseconds(500)};
+  // A connection to a server is preferred for reuse once it has been idle for this long: a close, or bytes
+  // sent in excess of an answer, mostly arrive within this time of the answer.
+  Duration settle{std::chrono::milliseconds(25)};
+  // A removed server is forgotten after this, so that the tables do not grow where servers are replaced all
+  // day.
+  Duration forget{std::chrono::seconds(15)};
+  Duration stream_stall{std::chrono::seconds(2)};   // without a byte from the server of a streamed value
+  Duration write_stall{std::chrono::seconds(10)};   // without a client reading; then it is closed
+  Duration default_wait{std::chrono::seconds(4)};   // deadline of a request that states none
+  Duration longest_wait{std::chrono::seconds(60)};  // the longest deadline that a request may state
+
+  // Calls to discovery. A change of the list counts as received 6 s after it happened, even if the router
+  // missed it. discovery/list_refresher.h keeps these times plus the waits between calls within that bound.
+
+  Duration watch{std::chrono::milliseconds(3000)};  // discovery may hold a watch (a long poll) this long
+  // Each router's watch is shorter by a fixed part of this, so that they do not all call at the same
+  // moment.
+  Duration watch_spread{std::chrono::milliseconds(500)};
+  // A watch without an answer this long after its end counts as unresponsive.
+  Duration call_grace{std::chrono::milliseconds(1000)};
+  Duration call_up{std::chrono::milliseconds(1000)};  // to connect to discovery
+  // An answer of discovery whose first bytes have come must go on within this.
+  Duration call_answer{std::chrono::milliseconds(1500)};
+
+  // Shutdown.
+
+  Duration linger{std::chrono::milliseconds(500)};  // new work is accepted this long after SIGTERM
+  // All requests are answered and the process has ended this long after SIGTERM.
+  Duration stop_within{std::chrono::milliseconds(3500)};
+  // When the arrival of a command is estimated, the process is assumed to have been stalled at most this
+  // long.
+  Duration held_up{std::chrono::milliseconds(200)};
+  // When the time for the shutdown is up, the process waits this long for its last answers to be sent.
+  Duration last_words{std::chrono::milliseconds(50)};
+
+  Duration max_retry_after{0};  // the longest time after which clients are told to retry; 0: never told
+
+  // Admin interface and operator state.
+
+  Duration door_call{std::chrono::milliseconds(500)};  // for a complete call, from its connection
+  Duration door_linger{std::chrono::seconds(1)};       // for the caller to read the answer
+  // From the confirmation of a resume until the server is used, so that no request reaches the server
+  // before the confirmation reaches the operator.
+  Duration put_back{std::chrono::milliseconds(50)};
+  // How long the start or a call waits for the disk. Then the start goes on without the stored state, and
+  // the call is answered that its change is not stored.
+  Duration state_disk_timeout{std::chrono::milliseconds(300)};
+  // How often the shared operator state is read.
+  Duration state_poll_interval{std::chrono::milliseconds(250)};
+  // A process whose heartbeat file has not been renewed for this long counts as ended.
+  std::chrono::milliseconds heartbeat_timeout{1000};
 };
 
-// The part of `whole` that one of `processes` processes of one router may hold, where they share one
-// router's limits on descriptors (a replacement: the old process and the new one side by side). Guards
-// against the two together holding more sockets than one may: each takes its share of connections to
-// servers and of clients, and of requests no more than those let it answer. Times and sizes stay.
-inline Limits Shared(const Limits& whole, std::size_t processes) {
+// The share of `whole` for one of `processes` processes that serve the same router side by side, as the old
+// and the new process do during a replacement. Guards against their holding more sockets together than one
+// process may: connections to servers and to clients are divided, and requests are limited to what those
+// connections can answer. Times and sizes are not divided.
+inline Limits LimitsPerProcess(const Limits& whole, std::size_t processes) {
   if (processes <= 1) return whole;
   Limits part = whole;
-  const auto share = [&](std::size_t n, std::size_t least) { return std::max(least, n / processes); };
+  const auto share = [&](std::size_t total, std::size_t min) { return std::max(min, total / processes); };
   part.attempt_conns = share(whole.attempt_conns, 4);
   part.clients = share(whole.clients, 4);
   part.resting = std::min(whole.resting, part.clients);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -68,7 +68,7 @@
                      if (front_at != nullptr) front_at->SendAway(on);
                    },
                    [&](std::size_t processes) {
-                     limits = Shared(whole, processes);
+                     limits = LimitsPerProcess(whole, processes);
                      nodes.Trim();
                      if (front_at != nullptr) front_at->Reshare();
                    }};
@@ -77,7 +77,8 @@
   Operator operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
       door_here ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
-      door_here ? std::make_unique<LiveMarks>(StateDirectory(), config.name, limits.live_stale) : nullptr);
+      door_here ? std::make_unique<LiveMarks>(StateDirectory(), config.name, limits.heartbeat_timeout)
+                : nullptr);
   // What an earlier process left, where the installation has a disk for it: bans before any list.
   std::unique_ptr<Keeper> keeper;
   std::optional<Snapshot> kept;
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -431,9 +431,9 @@
   whole.requests = 159;
   whole.resting = 32;
   whole.resting_again = 84;
-  CHECK(Shared(whole, 1).attempt_conns == 168);
-  CHECK(Shared(whole, 0).clients == 168);
-  const Limits half = Shared(whole, 2);
+  CHECK(LimitsPerProcess(whole, 1).attempt_conns == 168);
+  CHECK(LimitsPerProcess(whole, 0).clients == 168);
+  const Limits half = LimitsPerProcess(whole, 2);
   CHECK(half.attempt_conns + half.attempt_conns <= whole.attempt_conns);
   CHECK(half.clients + half.clients <= whole.clients);
   CHECK(half.requests <= half.attempt_conns);
@@ -444,7 +444,7 @@
   CHECK(half.speak == whole.speak);
   Limits tiny;
   tiny.attempt_conns = tiny.clients = 6;
-  CHECK(Shared(tiny, 3).attempt_conns >= 4);  // never none
+  CHECK(LimitsPerProcess(tiny, 3).attempt_conns >= 4);  // never none
 }
 
 TEST_CASE("live marks count the processes of one router, and a mark not renewed counts no more") {
