--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -3,7 +3,7 @@
 namespace brasswood {
 namespace {
 
-bool IsId(std::string_view id) {
+bool IsServerId(std::string_view id) {
   if (id.empty() || id.size() > 256) return false;
   for (const char c : id) {
     if (c <= ' ' || c >= 0x7f || c == '/') return false;
@@ -11,44 +11,44 @@
   return true;
 }
 
-Route Routed(std::string_view method, std::string_view wants, CallKind kind, std::string id = {}) {
-  Route r;
-  r.kind = kind;
-  r.id = std::move(id);
-  if (method != wants) {
-    r.status = 405;
-    r.allow = std::string(wants);
+Route MakeRoute(std::string_view method, std::string_view allowed, CallKind kind, std::string id = {}) {
+  Route route;
+  route.kind = kind;
+  route.id = std::move(id);
+  if (method != allowed) {
+    route.status = 405;
+    route.allow = std::string(allowed);
   }
-  return r;
+  return route;
 }
 
 }  // namespace
 
 Route Resolve(std::string_view method, std::string_view path) {
-  if (path == "/v1/readyz") return Routed(method, "GET", CallKind::kReady);
-  if (path == "/v1/metrics") return Routed(method, "GET", CallKind::kMetrics);
-  if (path == "/v1/router/drain") return Routed(method, "POST", CallKind::kDrain);
-  if (path == "/v1/router/activate") return Routed(method, "POST", CallKind::kActivate);
+  if (path == "/v1/readyz") return MakeRoute(method, "GET", CallKind::kReady);
+  if (path == "/v1/metrics") return MakeRoute(method, "GET", CallKind::kMetrics);
+  if (path == "/v1/router/drain") return MakeRoute(method, "POST", CallKind::kDrain);
+  if (path == "/v1/router/activate") return MakeRoute(method, "POST", CallKind::kActivate);
   constexpr std::string_view kServers = "/v1/cache-servers/";
   if (path.starts_with(kServers)) {
     std::string_view rest = path.substr(kServers.size());
     const std::size_t slash = rest.find('/');
-    if (slash != rest.npos && IsId(rest.substr(0, slash))) {
+    if (slash != rest.npos && IsServerId(rest.substr(0, slash))) {
       const std::string id(rest.substr(0, slash));
-      const std::string_view verb = rest.substr(slash + 1);
-      if (verb == "suspend") return Routed(method, "POST", CallKind::kSuspend, id);
-      if (verb == "resume") return Routed(method, "POST", CallKind::kResume, id);
+      const std::string_view action = rest.substr(slash + 1);
+      if (action == "suspend") return MakeRoute(method, "POST", CallKind::kSuspend, id);
+      if (action == "resume") return MakeRoute(method, "POST", CallKind::kResume, id);
     }
   }
-  Route none;
-  none.status = 404;
-  return none;
+  Route not_found;
+  not_found.status = 404;
+  return not_found;
 }
 
-// The call holds either way.
-std::string HeldOnly(const std::string& body, const std::string& why) {
-  if (why.empty()) return body;
-  return body.substr(0, body.find('\n')) + "; held in memory only, not stored: " + why + "\n";
+// Whether stored or not, the change is in effect.
+std::string HeldOnly(const std::string& body, const std::string& error) {
+  if (error.empty()) return body;
+  return body.substr(0, body.find('\n')) + "; held in memory only, not stored: " + error + "\n";
 }
 
 CallAnswer AnswerCall(std::string_view method, std::string_view path, Operations& router) {
@@ -59,7 +59,7 @@
     case CallKind::kReady:
       return router.Ready() ? CallAnswer{200, "ready\n"} : CallAnswer{503, "not ready\n"};
     case CallKind::kMetrics:
-      return {200, router.Figures()};
+      return {200, router.MetricsText()};
     case CallKind::kSuspend:
       if (!router.Suspend(route.id)) return {404, "no cache server " + route.id + "\n"};
       return {200, "suspended " + route.id + "\n", "text/plain", true};
--- a/src/admin/calls.h
+++ b/src/admin/calls.h
@@ -1,5 +1,5 @@
-// The calls of the operators' door: which path means what, and the answer each is owed. Knows no socket
-// and no HTTP framing (protocol/door reads and writes that); the router is reached through Operations.
+// The calls of the admin interface: their paths and their answers. Independent of sockets and of HTTP
+// framing (protocol/door parses and writes that); the router is called through Operations.
 #ifndef BRASSWOOD_ADMIN_CALLS_H_
 #define BRASSWOOD_ADMIN_CALLS_H_
 
@@ -12,29 +12,31 @@
 enum class CallKind { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate };
 
 struct Route {
-  int status = 0;  // 0: routed; else 404 (no such path) or 405 (the path takes another method)
+  int status = 0;  // 0: found; else 404 (no such path) or 405 (the path takes another method)
   CallKind kind = CallKind::kReady;
-  std::string id;     // of a cache server, for kSuspend and kResume
-  std::string allow;  // of a 405: the method that the path takes
+  std::string id;     // for kSuspend and kResume: the cache server's
+  std::string allow;  // for 405: the method that the path takes
 };
 
-// Exact paths: /v1/readyz and /v1/metrics (GET), /v1/cache-servers/ID/suspend and .../resume,
-// /v1/router/drain and /v1/router/activate (POST). An ID is one path segment of printable characters.
+// Finds the call for a request. Paths must match exactly: /v1/readyz and /v1/metrics (GET),
+// /v1/cache-servers/ID/suspend and .../resume, /v1/router/drain and /v1/router/activate (POST). An ID is
+// one path segment of printable characters.
 Route Resolve(std::string_view method, std::string_view path);
 
-// What the door may ask of the router. Every call returns at once: none waits on a server, a request
-// or a disk.
+// What the admin interface can ask of the router. Every function returns at once: none waits for a server,
+// a request or a disk.
 class Operations {
  public:
   virtual ~Operations() = default;
   virtual bool Ready() const = 0;
-  virtual std::string Figures() const = 0;
-  // False: no cache server of that id is known.
+  virtual std::string MetricsText() const = 0;
+  // Both return false if no cache server with that id is known.
   virtual bool Suspend(const std::string& id) = 0;
   virtual bool Resume(const std::string& id) = 0;
-  // Calls `then` once what was said last is stored, with nothing, or else soon with why it is held in
-  // memory only (a restart of the process would lose it). Never from inside this call.
-  virtual void WhenKept(std::function<void(const std::string& why)> then) = 0;
+  // Calls `callback` with an empty text once the latest change is stored, or else within
+  // Limits::state_disk_timeout with the reason why it is held in memory only (a restart of the process
+  // would lose it). Never calls it before returning.
+  virtual void WhenKept(std::function<void(const std::string& error)> callback) = 0;
   virtual void Drain() = 0;
   virtual void Activate() = 0;
 };
@@ -43,14 +45,15 @@
   int status = 200;
   std::string body;
   std::string type = "text/plain";
-  // The call changed what is to be kept: its answer goes out after WhenKept, with what that says.
+  // The call changed stored state: the answer is sent once WhenKept has reported whether it was stored.
   bool kept = false;
 };
 
-// The answer's body where what was said could not be stored.
-std::string HeldOnly(const std::string& body, const std::string& why);
+// The body of an answer whose change could not be stored because of `error`; `body` itself if that is
+// empty.
+std::string HeldOnly(const std::string& body, const std::string& error);
 
-// The answer to a call that parsed; `method` and `path` as sent.
+// Executes a call and returns its answer. `method` and `path` are as received.
 CallAnswer AnswerCall(std::string_view method, std::string_view path, Operations& router);
 
 }  // namespace brasswood
--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -3,7 +3,7 @@
 namespace brasswood {
 namespace {
 
-void Line(std::string& out, std::string_view name, std::uint64_t value, char type) {
+void AppendLine(std::string& out, std::string_view name, std::uint64_t value, char type) {
   out.append("router.").append(name).append(":").append(std::to_string(value)).append("|");
   out.push_back(type);
   out.push_back('\n');
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-std::string Render(const Figures& f) {
+std::string FormatMetrics(const Metrics& metrics) {
   std::string out;
-  for (const ClassFigures& c : f.classes) {
-    Line(out, "passed." + c.name, c.passed, 'c');
-    Line(out, "dropped." + c.name, c.dropped, 'c');
-    Line(out, "bad_gateway." + c.name, c.bad_gateway, 'c');
+  for (const ClassMetrics& request_class : metrics.classes) {
+    AppendLine(out, "passed." + request_class.name, request_class.passed, 'c');
+    AppendLine(out, "dropped." + request_class.name, request_class.dropped, 'c');
+    AppendLine(out, "bad_gateway." + request_class.name, request_class.bad_gateway, 'c');
   }
-  Line(out, "upstream_tries", f.upstream_tries, 'c');
-  Line(out, "in_progress", f.in_progress, 'g');
-  Line(out, "known_cache_servers", f.known_cache_servers, 'g');
-  Line(out, "skipped_cache_servers", f.skipped_cache_servers, 'g');
+  AppendLine(out, "upstream_tries", metrics.upstream_tries, 'c');
+  AppendLine(out, "in_progress", metrics.in_progress, 'g');
+  AppendLine(out, "known_cache_servers", metrics.known_cache_servers, 'g');
+  AppendLine(out, "skipped_cache_servers", metrics.skipped_cache_servers, 'g');
   return out;
 }
 
--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -155,10 +155,10 @@
 
 bool Operator::Ready() const { return front_.ready(); }
 
-std::string Operator::Figures() const {
-  brasswood::Figures f;
+std::string Operator::MetricsText() const {
+  Metrics f;
   for (std::size_t i = 0; i < names_.classes.size(); ++i) {
-    ClassFigures c;
+    ClassMetrics c;
     c.name = names_.classes[i];
     if (i < counters_.by_class.size()) {
       c.passed = counters_.by_class[i].passed;
@@ -172,7 +172,7 @@
   const Engine::Census census = engine_.Count();
   f.known_cache_servers = census.known;
   f.skipped_cache_servers = census.skipped;
-  return Render(f);
+  return FormatMetrics(f);
 }
 
 bool Operator::Suspend(const std::string& id) {
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -45,7 +45,7 @@
   void Follow();
 
   bool Ready() const override;
-  std::string Figures() const override;
+  std::string MetricsText() const override;
   bool Suspend(const std::string& id) override;
   bool Resume(const std::string& id) override;
   void WhenKept(std::function<void(const std::string& why)> then) override;
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -98,13 +98,13 @@
 }
 
 TEST_CASE("figures are lines of name, value and type") {
-  Figures f;
+  Metrics f;
   f.classes = {{"get-tarball", 812, 3, 1}, {"publish", 0, 0, 0}};
   f.upstream_tries = 900;
   f.in_progress = 14;
   f.known_cache_servers = 9;
   f.skipped_cache_servers = 1;
-  CHECK(Render(f) ==
+  CHECK(FormatMetrics(f) ==
         "router.passed.get-tarball:812|c\nrouter.dropped.get-tarball:3|c\nrouter.bad_gateway.get-tarball:1|"
         "c\n"
         "router.passed.publish:0|c\nrouter.dropped.publish:0|c\nrouter.bad_gateway.publish:0|c\n"
