--- a/src/admin/live_marks.h
+++ b/src/admin/live_marks.h
@@ -1,9 +1,9 @@
-// Which processes of this router are alive now: each one keeps a mark under the shared $TMPDIR,
-// `brasswood-NAME.live.PID`, and renews its time at every beat. A mark that is not seen to change for
-// `Limits::heartbeat_timeout` is of a process that has gone, however it ended; its time itself says
-// nothing, as the wall clock may have stepped since. Used during a replacement, when an old and a new
-// process of one router run side by side and share its limits; routers never learn of each other this way,
-// as each has its own name.
+// Counts the live processes of this router by heartbeat files: each process keeps a file in the shared
+// $TMPDIR, `brasswood-NAME.live.PID`, and renews its modification time regularly. A process whose file has
+// not been seen to change for `Limits::heartbeat_timeout` counts as ended, however it ended. The
+// modification time itself is not compared with the current time for that, as the wall clock may have
+// stepped since. Used during a replacement, when the old and the new process of one router run side by side
+// and share its limits. Other routers are not counted, as they have other names.
 #ifndef BRASSWOOD_ADMIN_LIVE_MARKS_H_
 #define BRASSWOOD_ADMIN_LIVE_MARKS_H_
 
@@ -15,26 +15,26 @@
 
 namespace brasswood {
 
-class LiveMarks {
+class HeartbeatFiles {
  public:
-  // `stale`: a mark that has not changed for this long counts no more.
-  LiveMarks(const std::string& directory, const std::string& name, std::chrono::milliseconds stale);
-  ~LiveMarks();  // the own mark goes
-  LiveMarks(const LiveMarks&) = delete;
-  LiveMarks& operator=(const LiveMarks&) = delete;
+  // `name`: the router's. `timeout`: a process whose file has not changed for this long is not counted.
+  HeartbeatFiles(const std::string& directory, const std::string& name, std::chrono::milliseconds timeout);
+  ~HeartbeatFiles();  // removes this process's file
+  HeartbeatFiles(const HeartbeatFiles&) = delete;
+  HeartbeatFiles& operator=(const HeartbeatFiles&) = delete;
 
-  // Renews the own mark, and says how many processes of this router are alive, this one among them.
-  std::size_t Beat();
+  // Renews this process's file and returns the number of live processes of this router, including this one.
+  std::size_t RenewAndCount();
 
  private:
-  struct Seen {  // of another process's mark
-    std::filesystem::file_time_type renewed;
-    std::chrono::steady_clock::time_point at;  // when this time was first seen
+  struct Observation {  // of another process's file
+    std::filesystem::file_time_type modified;
+    std::chrono::steady_clock::time_point first_seen;  // when this modification time was first seen
   };
 
-  std::string directory_, prefix_, own_;
-  std::map<std::string, Seen> seen_;  // by file name
-  std::chrono::milliseconds stale_;
+  std::string directory_, prefix_, own_path_;
+  std::map<std::string, Observation> others_;  // by file name
+  std::chrono::milliseconds timeout_;
 };
 
 }  // namespace brasswood
--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -10,7 +10,7 @@
 
 Operator::Operator(Engine& engine, const Counters& counters, const Names& names, FrontHooks front,
                    const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-                   std::unique_ptr<StateFile> file, std::unique_ptr<LiveMarks> marks)
+                   std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> marks)
     : engine_(engine),
       counters_(counters),
       names_(names),
@@ -47,7 +47,7 @@
 void Operator::AskDisk() {
   disk_->Put("look", [this, file = file_, marks = marks_]() -> DiskThread::Call {
     Seen seen;
-    if (marks) seen.alive = marks->Beat();
+    if (marks) seen.alive = marks->RenewAndCount();
     seen.state = file->Read(seen.why);
     return [this, seen] { Take(seen); };
   });
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -36,7 +36,7 @@
   // `file` may be null: then nothing is kept beyond this process. All references outlive the operator.
   Operator(Engine& engine, const Counters& counters, const Names& names, FrontHooks front,
            const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-           std::unique_ptr<StateFile> file, std::unique_ptr<LiveMarks> marks = nullptr);
+           std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> marks = nullptr);
 
   // Takes over what the file holds; before the first list, so that no attempt goes to a banned server.
   // Waits for the disk, `Limits::state_disk_timeout` at most.
@@ -77,7 +77,7 @@
   std::function<Time()> now_;
   // Shared with the disk's thread, which may outlive this by what it is stuck in.
   std::shared_ptr<StateFile> file_;
-  std::shared_ptr<LiveMarks> marks_;
+  std::shared_ptr<HeartbeatFiles> marks_;
   std::size_t processes_ = 1;
   std::uint64_t said_ = 0, kept_ = 0;  // the changes said, and the last of them that is stored
   std::string unkept_;                 // why the last try to store failed; empty: it did not
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -77,7 +77,7 @@
   Operator operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
       door_here ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
-      door_here ? std::make_unique<LiveMarks>(StateDirectory(), config.name, limits.heartbeat_timeout)
+      door_here ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
                 : nullptr);
   // What an earlier process left, where the installation has a disk for it: bans before any list.
   std::unique_ptr<Keeper> keeper;
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -450,27 +450,27 @@
 TEST_CASE("live marks count the processes of one router, and a mark not renewed counts no more") {
   char path[] = "/tmp/brasswood-live-XXXXXX";
   REQUIRE(::mkdtemp(path) != nullptr);
-  LiveMarks mine(path, "n1", std::chrono::milliseconds(300));
-  CHECK(mine.Beat() == 1);
+  HeartbeatFiles mine(path, "n1", std::chrono::milliseconds(300));
+  CHECK(mine.RenewAndCount() == 1);
   std::ofstream(std::string(path) + "/brasswood-n1.live.999999") << "999999\n";  // another, just now
   std::ofstream(std::string(path) + "/brasswood-n2.live.999998") << "999998\n";  // another router's name
-  CHECK(mine.Beat() == 2);
+  CHECK(mine.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  CHECK(mine.Beat() == 1);  // the other stopped renewing its mark
+  CHECK(mine.RenewAndCount() == 1);  // the other stopped renewing its mark
 }
 
 TEST_CASE("a mark of a process that has gone counts no more, though the clock was set back since") {
   char path[] = "/tmp/brasswood-live-XXXXXX";
   REQUIRE(::mkdtemp(path) != nullptr);
-  LiveMarks mine(path, "n1", std::chrono::milliseconds(100));
+  HeartbeatFiles mine(path, "n1", std::chrono::milliseconds(100));
   const std::string other = std::string(path) + "/brasswood-n1.live.999999";
   std::ofstream(other) << "999999\n";
-  CHECK(mine.Beat() == 2);
+  CHECK(mine.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  CHECK(mine.Beat() == 1);
+  CHECK(mine.RenewAndCount() == 1);
   const auto later = std::filesystem::file_time_type::clock::now() + std::chrono::hours(1);
   std::filesystem::last_write_time(other, later);  // renewed, by another clock
-  CHECK(mine.Beat() == 2);
+  CHECK(mine.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  CHECK(mine.Beat() == 1);
+  CHECK(mine.RenewAndCount() == 1);
 }
