--- a/src/admin/operator_state.h
+++ b/src/admin/operator_state.h
@@ -1,6 +1,7 @@
-// What operators have said and a replacement must keep: the cache servers taken out by hand. Written to a
-// small file under $TMPDIR, which an old and a new process of one router share; read at the start and
-// whenever it changes. Pure: the text form here, the file in admin/state_file.
+// The operator state, which must survive a replacement of the process: the cache servers that operators
+// have suspended. It is written to a small file in $TMPDIR, which the old and the new process of one router
+// share, and read at the start and regularly after that. This file has the text format only;
+// admin/state_file reads and writes the file.
 #ifndef BRASSWOOD_ADMIN_OPERATOR_STATE_H_
 #define BRASSWOOD_ADMIN_OPERATOR_STATE_H_
 
@@ -12,13 +13,15 @@
 namespace brasswood {
 
 struct OperatorState {
-  std::set<std::string> suspended;  // uids; a flag each: one resume undoes any number of suspends
+  std::set<std::string> suspended;  // uids; a set, so one resume undoes any number of suspends
   bool operator==(const OperatorState&) const = default;
 };
 
-// The first line names the layout and its version; one `suspended UID` line follows for each.
+// The first line names the format and its version; then come one line `suspended UID` for each server, and
+// a last line `end`.
 std::string Encode(const OperatorState& state);
-// Nothing where the text is torn, empty or of another layout: the caller keeps what it has and says so.
+// Returns nothing if the text is incomplete, empty or in another format; the caller then keeps its state
+// and logs the reason.
 std::optional<OperatorState> Decode(std::string_view text);
 
 }  // namespace brasswood
