--- a/src/admin/state_file.cpp
+++ b/src/admin/state_file.cpp
@@ -7,24 +7,24 @@
 namespace brasswood {
 
 std::string StateDirectory() {
-  const char* dir = std::getenv("TMPDIR");
-  return dir == nullptr || *dir == '\0' ? std::string("/tmp") : std::string(dir);
+  const char* directory = std::getenv("TMPDIR");
+  return directory == nullptr || *directory == '\0' ? std::string("/tmp") : std::string(directory);
 }
 
 StateFile::StateFile(const std::string& directory, const std::string& name)
     : path_(directory + "/brasswood-" + (name.empty() ? std::string("router") : name) + ".operator") {}
 
-std::optional<OperatorState> StateFile::Read(std::string& why) const {
-  constexpr std::size_t kMost = 1 << 20;  // far above any real state: what is larger is not ours
-  const auto text = ReadWhole(path_, kMost, why);
+std::optional<OperatorState> StateFile::Read(std::string& error) const {
+  constexpr std::size_t kMaxBytes = 1 << 20;  // far above any real state; a larger file is not ours
+  const auto text = ReadWhole(path_, kMaxBytes, error);
   if (!text) return std::nullopt;
   auto state = Decode(*text);
-  if (!state) why = path_ + ": torn or of another layout";
+  if (!state) error = path_ + ": torn or of another layout";
   return state;
 }
 
-bool StateFile::Write(const OperatorState& state, std::string& why) const {
-  return WriteWhole(path_, Encode(state), why);
+bool StateFile::Write(const OperatorState& state, std::string& error) const {
+  return WriteWhole(path_, Encode(state), error);
 }
 
 }  // namespace brasswood
--- a/src/admin/state_file.h
+++ b/src/admin/state_file.h
@@ -1,6 +1,6 @@
-// The operator state on disk: one small file under $TMPDIR, written whole to a side file and renamed over
-// the old one, so that a reader, the other process of a replacement among them, sees the old or the new
-// state and never half of one.
+// The operator state on disk: one small file in $TMPDIR. It is written to a temporary file that is then
+// renamed over the old one, so that any reader, such as the other process of a replacement, sees the
+// complete old or the complete new state.
 #ifndef BRASSWOOD_ADMIN_STATE_FILE_H_
 #define BRASSWOOD_ADMIN_STATE_FILE_H_
 
@@ -13,14 +13,14 @@
 
 class StateFile {
  public:
-  // `directory`: $TMPDIR, or /tmp where it is not set; `name`: the router's, the same in both processes.
+  // `name`: the router's, the same in both processes of a replacement.
   StateFile(const std::string& directory, const std::string& name);
 
-  // Nothing, with `why` empty: there is no file (nothing was said yet). Nothing with `why`: it cannot be
-  // read or is torn, or of another layout.
-  std::optional<OperatorState> Read(std::string& why) const;
-  // False, with `why`, where it could not be written; the state in memory holds all the same.
-  bool Write(const OperatorState& state, std::string& why) const;
+  // Returns nothing and leaves `error` empty if there is no file, because no state was ever stored. Returns
+  // nothing and sets `error` if the file cannot be read, is incomplete or has another format.
+  std::optional<OperatorState> Read(std::string& error) const;
+  // Returns false and sets `error` if the file could not be written.
+  bool Write(const OperatorState& state, std::string& error) const;
 
   const std::string& path() const { return path_; }
 
@@ -28,7 +28,7 @@
   std::string path_;
 };
 
-// $TMPDIR, or /tmp.
+// $TMPDIR, or /tmp if that is not set.
 std::string StateDirectory();
 
 }  // namespace brasswood
