--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -8,9 +8,10 @@
 
 namespace brasswood {
 
-Operator::Operator(Engine& engine, const Counters& counters, const Names& names, FrontHooks front,
-                   const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-                   std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> marks)
+RouterOperations::RouterOperations(Engine& engine, const Counters& counters, const Names& names,
+                                   ClientFrontHooks front, const Limits& limits, Deadlines& deadlines,
+                                   std::function<Time()> now, std::unique_ptr<StateFile> file,
+                                   std::unique_ptr<HeartbeatFiles> heartbeats)
     : engine_(engine),
       counters_(counters),
       names_(names),
@@ -19,182 +20,183 @@
       deadlines_(deadlines),
       now_(std::move(now)),
       file_(std::move(file)),
-      marks_(std::move(marks)) {
+      heartbeats_(std::move(heartbeats)) {
   if (file_) disk_ = std::make_unique<DiskThread>();
 }
 
-void Operator::Count(std::size_t alive) {
-  if (alive == processes_) return;
-  LogLine(Level::kInfo) << alive
+void RouterOperations::SetProcessCount(std::size_t live_processes) {
+  if (live_processes == process_count_) return;
+  LogLine(Level::kInfo) << live_processes
                         << " processes of this router are alive: each takes its share of the limits";
-  processes_ = alive;
-  if (front_.share) front_.share(alive);
+  process_count_ = live_processes;
+  if (front_.set_process_count) front_.set_process_count(live_processes);
 }
 
-void Operator::Restore() {
+void RouterOperations::Restore() {
   if (!disk_) return;
-  AskDisk();
-  // Nothing is served yet. Guards against a start that a dead disk holds up for good.
+  ReadDisk();
+  // Guards against a start that waits forever for a disk that does not answer. Nothing is served before.
   if (disk_->Await([this] { return restored_; }, limits_.state_disk_timeout)) return;
-  complained_ = true;
+  disk_failure_logged_ = true;
   LogLine(Level::kWarn) << "operator state not read yet: the disk does not answer";
 }
 
-void Operator::Follow() {
-  if (disk_) deadlines_.Set(now_() + limits_.state_poll_interval, [this] { Look(); });
+void RouterOperations::StartPolling() {
+  if (disk_) deadlines_.Set(now_() + limits_.state_poll_interval, [this] { PollDisk(); });
 }
 
-void Operator::AskDisk() {
-  disk_->Put("look", [this, file = file_, marks = marks_]() -> DiskThread::Call {
-    Seen seen;
-    if (marks) seen.alive = marks->RenewAndCount();
-    seen.state = file->Read(seen.why);
-    return [this, seen] { Take(seen); };
+void RouterOperations::ReadDisk() {
+  disk_->Put("look", [this, file = file_, heartbeats = heartbeats_]() -> DiskThread::Call {
+    DiskReading reading;
+    if (heartbeats) reading.live_processes = heartbeats->RenewAndCount();
+    reading.state = file->Read(reading.error);
+    return [this, reading] { Apply(reading); };
   });
 }
 
-// Guards against two processes of one router that disagree: a call to the old one while the new one
-// serves, or the other way round. What the file says wins; only changes are carried out.
-void Operator::Take(const Seen& seen) {
-  if (marks_) Count(seen.alive);
+// Guards against two processes of one router that disagree because an operator called only one of them: the
+// state in the file replaces the one in memory. Only the differences are applied to the engine.
+void RouterOperations::Apply(const DiskReading& reading) {
+  if (heartbeats_) SetProcessCount(reading.live_processes);
   const bool first = !std::exchange(restored_, true);
-  // Guards against a ban lost to a full disk: while the file lacks what was said here last, its word does
-  // not go before it.
-  if (said_ != kept_) return;
-  if (!seen.state) {
-    if (!seen.why.empty() && seen.why != last_read_) {
-      LogLine(Level::kWarn) << "operator state ignored: " << seen.why;
+  // Guards against losing a suspension because the disk is full: while the latest change made here is not
+  // stored, the file is out of date and is not applied.
+  if (latest_change_ != stored_change_) return;
+  if (!reading.state) {
+    if (!reading.error.empty() && reading.error != logged_read_error_) {
+      LogLine(Level::kWarn) << "operator state ignored: " << reading.error;
     }
-    last_read_ = seen.why;
+    logged_read_error_ = reading.error;
     return;
   }
-  last_read_.clear();
+  logged_read_error_.clear();
   const std::set<std::string> now = engine_.suspended();
-  for (const std::string& uid : seen.state->suspended) {
+  for (const std::string& uid : reading.state->suspended) {
     if (!now.contains(uid)) engine_.Suspend(uid, true);
   }
   for (const std::string& uid : now) {
-    if (!seen.state->suspended.contains(uid)) engine_.Resume(uid, true);
+    if (!reading.state->suspended.contains(uid)) engine_.Resume(uid, true);
   }
-  if (first && !seen.state->suspended.empty()) {
-    LogLine(Level::kInfo) << "operator state taken over: " << seen.state->suspended.size() << " suspended";
+  if (first && !reading.state->suspended.empty()) {
+    LogLine(Level::kInfo) << "operator state restored: " << reading.state->suspended.size()
+                          << " servers suspended";
   }
 }
 
-void Operator::Look() {
-  deadlines_.Set(now_() + limits_.state_poll_interval, [this] { Look(); });
+void RouterOperations::PollDisk() {
+  deadlines_.Set(now_() + limits_.state_poll_interval, [this] { PollDisk(); });
   disk_->Deliver();
-  if (said_ != kept_ && !disk_->Has("save")) Save();
-  if (!disk_->Has("look")) AskDisk();
-  if (disk_->Stuck() > limits_.state_disk_timeout && !std::exchange(complained_, true)) {
+  if (latest_change_ != stored_change_ && !disk_->Has("save")) Save();
+  if (!disk_->Has("look")) ReadDisk();
+  if (disk_->Stuck() > limits_.state_disk_timeout && !std::exchange(disk_failure_logged_, true)) {
     LogLine(Level::kWarn) << "operator state held in memory only: the disk does not answer";
   }
 }
 
-void Operator::Save() {
-  disk_->Put(
-      "save",
-      [this, file = file_, said = said_, state = OperatorState{engine_.suspended()}]() -> DiskThread::Call {
-        std::string why;
-        const bool ok = file->Write(state, why);
-        return [this, said, ok, why] { Kept(said, ok, why); };
-      });
+void RouterOperations::Save() {
+  disk_->Put("save",
+             [this, file = file_, change = latest_change_,
+              state = OperatorState{engine_.suspended()}]() -> DiskThread::Call {
+               std::string error;
+               const bool ok = file->Write(state, error);
+               return [this, change, ok, error] { Saved(change, ok, error); };
+             });
 }
 
-// Logged once when it begins to fail and once when it works again, however often it is tried between.
-void Operator::Kept(std::uint64_t said, bool ok, const std::string& why) {
-  unkept_ = why;
-  if (ok) kept_ = said;
-  if (ok && said == said_ && std::exchange(complained_, false)) {
+// Logs once when saving begins to fail and once when it works again, however often it is tried in between.
+void RouterOperations::Saved(std::uint64_t change, bool ok, const std::string& error) {
+  save_error_ = error;
+  if (ok) stored_change_ = change;
+  if (ok && change == latest_change_ && std::exchange(disk_failure_logged_, false)) {
     LogLine(Level::kInfo) << "operator state is stored again";
   }
-  if (!ok && !std::exchange(complained_, true)) {
+  if (!ok && !std::exchange(disk_failure_logged_, true)) {
     LogLine(Level::kWarn)
-        << "operator state held in memory only, tried again each "
+        << "operator state held in memory only, retried every "
         << std::chrono::duration_cast<std::chrono::milliseconds>(limits_.state_poll_interval).count()
-        << " ms: " << why;
+        << " ms: " << error;
   }
 }
 
-void Operator::Say() {
-  ++said_;
-  unkept_.clear();
+void RouterOperations::StateChanged() {
+  ++latest_change_;
+  save_error_.clear();
   if (disk_) {
     Save();
   } else {
-    kept_ = said_;
+    stored_change_ = latest_change_;
   }
 }
 
-void Operator::WhenKept(std::function<void(const std::string& why)> then) {
-  waiters_.push_back({said_, now_() + limits_.state_disk_timeout, std::move(then)});
-  if (!std::exchange(polling_, true)) Poll();
+void RouterOperations::WhenKept(std::function<void(const std::string& error)> callback) {
+  waiters_.push_back({latest_change_, now_() + limits_.state_disk_timeout, std::move(callback)});
+  if (!std::exchange(checking_waiters_, true)) ScheduleWaiterCheck();
 }
 
-// While a caller waits: has the disk answered?
-void Operator::Poll() {
+// While a caller waits, checks every 2 ms whether the disk thread has finished.
+void RouterOperations::ScheduleWaiterCheck() {
   deadlines_.Set(now_() + std::chrono::milliseconds(2), [this] {
     if (disk_) disk_->Deliver();
     std::vector<Waiter> waiters;
     waiters.swap(waiters_);
-    for (Waiter& w : waiters) {
-      if (!disk_ || kept_ >= w.said) {
-        w.then({});
-      } else if (!unkept_.empty()) {
-        w.then(unkept_);
-      } else if (now_() >= w.until) {
-        w.then("the disk does not answer");
+    for (Waiter& waiter : waiters) {
+      if (!disk_ || stored_change_ >= waiter.change) {
+        waiter.callback({});
+      } else if (!save_error_.empty()) {
+        waiter.callback(save_error_);
+      } else if (now_() >= waiter.deadline) {
+        waiter.callback("the disk does not answer");
       } else {
-        waiters_.push_back(std::move(w));
+        waiters_.push_back(std::move(waiter));
       }
     }
-    polling_ = !waiters_.empty();
-    if (polling_) Poll();
+    checking_waiters_ = !waiters_.empty();
+    if (checking_waiters_) ScheduleWaiterCheck();
   });
 }
 
-bool Operator::Ready() const { return front_.ready(); }
+bool RouterOperations::Ready() const { return front_.ready(); }
 
-std::string Operator::MetricsText() const {
-  Metrics f;
+std::string RouterOperations::MetricsText() const {
+  Metrics metrics;
   for (std::size_t i = 0; i < names_.classes.size(); ++i) {
-    ClassMetrics c;
-    c.name = names_.classes[i];
+    ClassMetrics class_metrics;
+    class_metrics.name = names_.classes[i];
     if (i < counters_.by_class.size()) {
-      c.passed = counters_.by_class[i].passed;
-      c.dropped = counters_.by_class[i].dropped;
-      c.bad_gateway = counters_.by_class[i].bad_gateway;
+      class_metrics.passed = counters_.by_class[i].passed;
+      class_metrics.dropped = counters_.by_class[i].dropped;
+      class_metrics.bad_gateway = counters_.by_class[i].bad_gateway;
     }
-    f.classes.push_back(std::move(c));
+    metrics.classes.push_back(std::move(class_metrics));
   }
-  f.upstream_tries = counters_.upstream_tries;
-  f.in_progress = engine_.open_requests();
+  metrics.upstream_tries = counters_.upstream_tries;
+  metrics.in_progress = engine_.open_requests();
   const Engine::Census census = engine_.Count();
-  f.known_cache_servers = census.known;
-  f.skipped_cache_servers = census.skipped;
-  return FormatMetrics(f);
+  metrics.known_cache_servers = census.known;
+  metrics.skipped_cache_servers = census.skipped;
+  return FormatMetrics(metrics);
 }
 
-bool Operator::Suspend(const std::string& id) {
+bool RouterOperations::Suspend(const std::string& id) {
   if (!engine_.Suspend(id)) return false;
-  Say();
+  StateChanged();
   return true;
 }
 
-bool Operator::Resume(const std::string& id) {
+bool RouterOperations::Resume(const std::string& id) {
   if (!engine_.Resume(id)) return false;
-  Say();
+  StateChanged();
   return true;
 }
 
-void Operator::Drain() {
-  LogLine(Level::kInfo) << "drained by hand: clients are sent away";
-  front_.send_away(true);
+void RouterOperations::Drain() {
+  LogLine(Level::kInfo) << "draining, as called for by an operator: idle client connections are closed";
+  front_.set_draining(true);
 }
 
-void Operator::Activate() {
-  LogLine(Level::kInfo) << "active again by hand";
-  front_.send_away(false);
+void RouterOperations::Activate() {
+  LogLine(Level::kInfo) << "active again, as called for by an operator";
+  front_.set_draining(false);
 }
 
 }  // namespace brasswood
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -1,8 +1,9 @@
-// What the door's calls do to this router: figures from the counters, bans laid on the engine, and the
-// drain of the clients' front. Operator state (the bans) is kept in the shared state file, so that a
-// replacement process takes it over and the two processes of a replacement agree: each writes it at every
-// change and reads it again at every `Limits::state_poll_interval`. All that touches the disk is done on a
-// thread of its own: a disk that is full, broken or stalled holds nobody up.
+// Executes the calls of the admin interface: metrics from the counters, suspension of servers in the
+// engine, and draining of the client front. The operator state (which servers are suspended) is stored in a
+// file that the processes of this router share, so that a replacement process takes it over and the two
+// processes of a replacement agree: each writes the file at every change and reads it every
+// `Limits::state_poll_interval`. All disk access runs on a thread of its own, so that a disk that is full,
+// broken or stalled delays nothing else.
 #ifndef BRASSWOOD_ADMIN_OPERATOR_H_
 #define BRASSWOOD_ADMIN_OPERATOR_H_
 
@@ -25,48 +26,50 @@
 
 namespace brasswood {
 
-struct FrontHooks {
-  std::function<bool()> ready;             // is the process ready to serve?
-  std::function<void(bool)> send_away;     // the drain on or off
-  std::function<void(std::size_t)> share;  // this many processes of the router are alive now
+// How the admin interface reaches the client front.
+struct ClientFrontHooks {
+  std::function<bool()> ready;                         // whether the process is ready to serve
+  std::function<void(bool)> set_draining;              // starts or ends draining
+  std::function<void(std::size_t)> set_process_count;  // the number of live processes of this router
 };
 
-class Operator : public Operations {
+class RouterOperations : public Operations {
  public:
-  // `file` may be null: then nothing is kept beyond this process. All references outlive the operator.
-  Operator(Engine& engine, const Counters& counters, const Names& names, FrontHooks front,
-           const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-           std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> marks = nullptr);
+  // `file` may be null: then the operator state is not stored. All references must outlive this object.
+  RouterOperations(Engine& engine, const Counters& counters, const Names& names, ClientFrontHooks front,
+                   const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
+                   std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
 
-  // Takes over what the file holds; before the first list, so that no attempt goes to a banned server.
-  // Waits for the disk, `Limits::state_disk_timeout` at most.
+  // Applies the stored state. Call it before the first server list is applied, so that no attempt goes to a
+  // suspended server. Waits for the disk for at most `Limits::state_disk_timeout`.
   void Restore();
-  // Reads the file again from now on, every `Limits::state_poll_interval`.
-  void Follow();
+  // From now on reads the file every `Limits::state_poll_interval`.
+  void StartPolling();
 
   bool Ready() const override;
   std::string MetricsText() const override;
   bool Suspend(const std::string& id) override;
   bool Resume(const std::string& id) override;
-  void WhenKept(std::function<void(const std::string& why)> then) override;
+  void WhenKept(std::function<void(const std::string& error)> callback) override;
   void Drain() override;
   void Activate() override;
 
  private:
-  // What the disk's thread found at one look.
-  struct Seen {
-    std::size_t alive = 1;
+  // What the disk thread read at one time.
+  struct DiskReading {
+    std::size_t live_processes = 1;
     std::optional<OperatorState> state;
-    std::string why;
+    std::string error;  // why there is no state; empty if there is no file
   };
-  void Say();
+  // Operators have changed the state: stores it.
+  void StateChanged();
   void Save();
-  void Kept(std::uint64_t said, bool ok, const std::string& why);
-  void Look();
-  void AskDisk();
-  void Take(const Seen& seen);
-  void Count(std::size_t alive);
-  void Poll();
+  void Saved(std::uint64_t change, bool ok, const std::string& error);
+  void PollDisk();
+  void ReadDisk();
+  void Apply(const DiskReading& reading);
+  void SetProcessCount(std::size_t live_processes);
+  void ScheduleWaiterCheck();
 
   Engine& engine_;
   const Counters& counters_;
@@ -75,22 +78,24 @@
   const Limits& limits_;
   Deadlines& deadlines_;
   std::function<Time()> now_;
-  // Shared with the disk's thread, which may outlive this by what it is stuck in.
+  // Shared with the disk thread, which may outlive this object while a call to the disk is stuck.
   std::shared_ptr<StateFile> file_;
-  std::shared_ptr<HeartbeatFiles> marks_;
-  std::size_t processes_ = 1;
-  std::uint64_t said_ = 0, kept_ = 0;  // the changes said, and the last of them that is stored
-  std::string unkept_;                 // why the last try to store failed; empty: it did not
-  bool complained_ = false;            // it has been logged that the disk fails or does not answer
-  std::string last_read_;              // what was said of the file the last time: so it is said once
-  struct Waiter {
-    std::uint64_t said;
-    Time until;
-    std::function<void(const std::string& why)> then;
+  std::shared_ptr<HeartbeatFiles> heartbeats_;
+  std::size_t process_count_ = 1;
+  // Numbers of changes by operators: the latest one, and the latest one that is stored.
+  std::uint64_t latest_change_ = 0, stored_change_ = 0;
+  std::string save_error_;            // why the last save failed; empty if it did not
+  bool disk_failure_logged_ = false;  // so that a failure or a stall of the disk is logged once
+  std::string logged_read_error_;     // so that an error in reading the file is logged once
+  struct Waiter {                     // a caller that waits until a change is stored
+    std::uint64_t change;
+    Time deadline;
+    std::function<void(const std::string& error)> callback;
   };
   std::vector<Waiter> waiters_;
-  bool restored_ = false, polling_ = false;
-  std::unique_ptr<DiskThread> disk_;  // last: its thread ends before the rest goes
+  bool restored_ = false, checking_waiters_ = false;
+  std::unique_ptr<DiskThread>
+      disk_;  // last member, so that its thread ends before the others are destroyed
 };
 
 }  // namespace brasswood
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -63,18 +63,18 @@
                        beechledge::Unit(beechledge::StableHash(config.name)));
   engine.Attach(nodes, origin, watch);
   ClientFront* front_at = nullptr;  // the front listens last, once all that it needs is there
-  FrontHooks hooks{[&front_at] { return front_at != nullptr && front_at->Ready(); },
-                   [&front_at](bool on) {
-                     if (front_at != nullptr) front_at->SendAway(on);
-                   },
-                   [&](std::size_t processes) {
-                     limits = LimitsPerProcess(whole, processes);
-                     nodes.Trim();
-                     if (front_at != nullptr) front_at->Reshare();
-                   }};
+  ClientFrontHooks hooks{[&front_at] { return front_at != nullptr && front_at->Ready(); },
+                         [&front_at](bool on) {
+                           if (front_at != nullptr) front_at->SendAway(on);
+                         },
+                         [&](std::size_t processes) {
+                           limits = LimitsPerProcess(whole, processes);
+                           nodes.Trim();
+                           if (front_at != nullptr) front_at->Reshare();
+                         }};
   // Operator state is kept only where there is a door to say it: older deployments have neither.
   const bool door_here = !config.admin.empty();
-  Operator operations(
+  RouterOperations operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
       door_here ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
       door_here ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
@@ -118,7 +118,7 @@
   std::unique_ptr<Door> door;
   if (!config.admin.empty()) {
     door = std::make_unique<Door>(loop, limits, config.admin, operations);
-    operations.Follow();
+    operations.StartPolling();
     LogLine(Level::kInfo) << "operators' door on " << config.admin.substr(0, config.admin.rfind(':') + 1)
                           << door->port();
   }
