--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// brasswood: one real router. Wiring and signals only.
+// The router program: creates the parts of one router, connects them and handles signals.
 #include <pthread.h>
 #include <signal.h>
 
@@ -27,100 +27,106 @@
 
 namespace {
 
-// The signals that are answered, held back while there is nothing to answer them. Guards against one that
-// comes while the process still starts (a new configuration for a fleet that is being restarted), or once
-// it has done its work and ends: by default it would end the process there and then.
-class HeldSignals {
+// Blocks the signals that the router handles while no handler is installed. Guards against a signal that
+// arrives while the process is still starting (SIGHUP for a new configuration, while a fleet is being
+// restarted) or while it is exiting: its default action would end the process at once.
+class SignalBlock {
  public:
-  HeldSignals() {
-    sigemptyset(&held_);
-    for (const int number : {SIGHUP, SIGTERM, SIGINT, SIGUSR1}) sigaddset(&held_, number);
-    Hold();
+  SignalBlock() {
+    sigemptyset(&signals_);
+    for (const int number : {SIGHUP, SIGTERM, SIGINT, SIGUSR1}) sigaddset(&signals_, number);
+    Block();
   }
-  void Hold() { pthread_sigmask(SIG_BLOCK, &held_, nullptr); }
-  // From now on they come, those that came before at once. Threads begun before never get any.
-  void Release() { pthread_sigmask(SIG_UNBLOCK, &held_, nullptr); }
+  void Block() { pthread_sigmask(SIG_BLOCK, &signals_, nullptr); }
+  // Signals that arrived meanwhile are delivered at once. Threads that were started while the signals were
+  // blocked keep them blocked.
+  void Unblock() { pthread_sigmask(SIG_UNBLOCK, &signals_, nullptr); }
 
  private:
-  sigset_t held_;
+  sigset_t signals_;
 };
 
-void Run(const brasswood::Config& config, HeldSignals& signals) {
+void Run(const brasswood::Config& config, SignalBlock& signals) {
   using namespace brasswood;
   Loop loop;
   Counters counters;
-  // What one process may hold; `limits`, which all parts read, is its share while a replacement runs.
-  const Limits whole = config.limits;
-  Limits limits = whole;
+  // The limits of a process that runs alone. `limits`, which all parts refer to, are the limits in force:
+  // this process's share while two processes run during a replacement.
+  const Limits full_limits = config.limits;
+  Limits limits = full_limits;
   const Names& names = config.settings.names;
   Engine engine(
       config.settings.module, config.seed, limits, [&loop] { return loop.Now(); }, loop.deadlines(),
       counters);
   ConnBudget budget;
-  CacheServerPool nodes(loop, engine, limits, counters, budget);
+  CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
   DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.rev,
                        beechledge::Unit(beechledge::StableHash(config.name)));
-  engine.Attach(nodes, origin, watch);
-  ClientFront* front_at = nullptr;  // the front listens last, once all that it needs is there
-  ClientFrontHooks hooks{[&front_at] { return front_at != nullptr && front_at->Ready(); },
-                         [&front_at](bool on) {
-                           if (front_at != nullptr) front_at->SendAway(on);
+  engine.Attach(cache_servers, origin, watch);
+  ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
+  ClientFrontHooks hooks{[&front_pointer] { return front_pointer != nullptr && front_pointer->Ready(); },
+                         [&front_pointer](bool on) {
+                           if (front_pointer != nullptr) front_pointer->SendAway(on);
                          },
                          [&](std::size_t processes) {
-                           limits = LimitsPerProcess(whole, processes);
-                           nodes.Trim();
-                           if (front_at != nullptr) front_at->Reshare();
+                           limits = LimitsPerProcess(full_limits, processes);
+                           cache_servers.Trim();
+                           if (front_pointer != nullptr) front_pointer->Reshare();
                          }};
-  // Operator state is kept only where there is a door to say it: older deployments have neither.
-  const bool door_here = !config.admin.empty();
+  // Operator state is stored only if there is an admin interface to change it. Older deployments have
+  // neither.
+  const bool has_admin = !config.admin.empty();
   RouterOperations operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
-      door_here ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
-      door_here ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
+      has_admin ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
+      has_admin ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
                 : nullptr);
-  // What an earlier process left, where the installation has a disk for it: bans before any list.
+  // Restores the snapshot of an earlier process, if the installation has a disk for it. Suspensions are
+  // applied before any server list, so that no attempt goes to a suspended server.
   std::unique_ptr<Keeper> keeper;
-  std::optional<Snapshot> kept;
+  std::optional<Snapshot> snapshot;
   if (const auto settings = LoadStateSettings()) {
     keeper = std::make_unique<Keeper>(*settings, config.name, engine, loop.deadlines(),
                                       [&loop] { return loop.Now(); });
-    kept = keeper->Read();
+    snapshot = keeper->Read();
     watch.AskFirst();
   }
-  if (kept) {
-    for (const std::string& uid : kept->suspended) engine.Suspend(uid, true);
+  if (snapshot) {
+    for (const std::string& uid : snapshot->suspended) engine.Suspend(uid, true);
   }
   operations.Restore();
-  if (kept && !kept->list.entries.empty() && kept->list.rev > config.known.rev) {
-    engine.Remember(kept->list, loop.Now() - kept->taken > keeper->settings().old);
+  if (snapshot && !snapshot->list.entries.empty() && snapshot->list.rev > config.known.rev) {
+    engine.Remember(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old);
   } else {
     engine.Remember(config.known);
   }
-  if (kept) {
-    const double faith = Faith(loop.Now() - kept->taken, keeper->settings().half, keeper->settings().most);
-    if (faith > 0) engine.Recall(std::move(*kept), faith);
+  if (snapshot) {
+    const double confidence =
+        Faith(loop.Now() - snapshot->taken, keeper->settings().half, keeper->settings().most);
+    if (confidence > 0) engine.Recall(std::move(*snapshot), confidence);
   }
   if (keeper) keeper->Begin();
-  // Guards against a restart for a new configuration: open requests and the listener stay as they are. What
-  // a router cannot change while it serves (its address, limits, settings) waits for its next start.
+  // SIGHUP applies a new configuration without a restart: open requests and the listener are not affected.
+  // Only the address of discovery is applied; the router's own address, its limits and settings change at
+  // its next start.
   loop.OnSignal(SIGHUP, [&watch] {
     try {
-      const Config fresh = ReloadConfig();
-      LogLine(Level::kInfo) << "configuration read again; discovery at " << fresh.discovery;
-      watch.MoveTo(fresh.discovery);
+      const Config reloaded = ReloadConfig();
+      LogLine(Level::kInfo) << "configuration reloaded; discovery at " << reloaded.discovery;
+      watch.MoveTo(reloaded.discovery);
     } catch (const std::exception& e) {
       LogLine(Level::kError) << "configuration kept as it was: " << e.what();
     }
   });
   ClientFront front(loop, engine, limits, names, counters, config.listen);
-  front_at = &front;
-  std::unique_ptr<Door> door;
+  front_pointer = &front;
+  std::unique_ptr<Door> admin_server;
   if (!config.admin.empty()) {
-    door = std::make_unique<Door>(loop, limits, config.admin, operations);
+    admin_server = std::make_unique<Door>(loop, limits, config.admin, operations);
     operations.StartPolling();
     LogLine(Level::kInfo) << "operators' door on " << config.admin.substr(0, config.admin.rfind(':') + 1)
-                          << door->port();
+                          << admin_server->port();
   }
   loop.OnSignal(SIGUSR1, [&] {
     LogLine(Level::kInfo) << counters << "; now open: requests=" << engine.open_requests()
@@ -136,25 +142,26 @@
   loop.OnSignal(SIGINT, stop);
   LogLine(Level::kInfo) << config.name << " listens on "
                         << config.listen.substr(0, config.listen.rfind(':') + 1) << front.port();
-  signals.Release();  // every one of them is answered now
+  signals.Unblock();  // all handlers are installed
   loop.Run();
-  signals.Hold();
+  signals.Block();
   counters.invariants.Expect(engine.open_requests() == 0, Invariant::kAnsweredBeforeEnd, "exit");
   LogLine(Level::kInfo) << counters;
   LogLine(Level::kInfo) << watch;
 }
 
-// Guards against a start that is refused for a lack that passes.
-void RunOnceItCan(const brasswood::Config& config, HeldSignals& signals) {
+// Guards against a start that fails because the system is short of something for a moment, such as
+// descriptors or memory. Such a start is retried for kStartPatience.
+void RunWithStartRetries(const brasswood::Config& config, SignalBlock& signals) {
   using namespace brasswood;
-  const auto until = std::chrono::steady_clock::now() + kStartPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kStartPatience;
   for (;;) {
     try {
       ProbeDescriptors();
       return Run(config, signals);
     } catch (const StartError& e) {
-      if (!e.passing() || std::chrono::steady_clock::now() >= until) throw;
-      LogLine(Level::kWarn) << "start put off: " << e.what();
+      if (!e.passing() || std::chrono::steady_clock::now() >= deadline) throw;
+      LogLine(Level::kWarn) << "cannot start yet, retrying: " << e.what();
     }
     std::this_thread::sleep_for(kStartPause);
   }
@@ -163,13 +170,13 @@
 }  // namespace
 
 int main() {
-  HeldSignals signals;
+  SignalBlock signals;
   const char* level = std::getenv("BRASSWOOD_LOG");
   brasswood::SetLog(std::cerr,
                     brasswood::ParseLevel(level == nullptr ? "" : level).value_or(brasswood::Level::kInfo));
   signal(SIGPIPE, SIG_IGN);
   try {
-    RunOnceItCan(brasswood::LoadConfig(), signals);
+    RunWithStartRetries(brasswood::LoadConfig(), signals);
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "brasswood: " << e.what() << '\n';
