--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door: its parser and calls without sockets, then the program's door on loopback.
+// The admin interface: first its parser and calls without sockets, then that of the program over loopback.
 #include "protocol/door.h"
 
 #include <sys/stat.h>
@@ -22,7 +22,7 @@
 using namespace brasswood;
 using namespace brasswood::testing;
 
-TEST_CASE("door calls are read whole, however they are cut") {
+TEST_CASE("an admin call is parsed however it is split, and only once it is complete") {
   const std::string call =
       "POST /v1/cache-servers/s-1/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
   for (std::size_t cut = 0; cut < call.size(); ++cut) {
@@ -41,7 +41,7 @@
   CHECK(got.path == "/v1/metrics");
 }
 
-TEST_CASE("bad door calls are owed a clear no at once") {
+TEST_CASE("an invalid admin call is answered with an error status at once") {
   const struct {
     std::string text;
     int status;
@@ -54,7 +54,7 @@
       {"POST /v1/router/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
       {"POST /v1/router/drain HTTP/1.1\r\nContent-Length: 999999\r\n\r\n", 413},
       {"POST /v1/router/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 501},
-      {"GET /" + std::string(9000, 'a'), 431},  // a head without end
+      {"GET /" + std::string(9000, 'a'), 431},  // an endless head
   };
   for (const auto& c : cases) {
     std::size_t used = 0;
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("door paths: exact, with their methods") {
+TEST_CASE("admin paths match exactly, each with its method") {
   const struct {
     const char *method, *path;
     int status;
@@ -97,14 +97,14 @@
   }
 }
 
-TEST_CASE("figures are lines of name, value and type") {
-  Metrics f;
-  f.classes = {{"get-tarball", 812, 3, 1}, {"publish", 0, 0, 0}};
-  f.upstream_tries = 900;
-  f.in_progress = 14;
-  f.known_cache_servers = 9;
-  f.skipped_cache_servers = 1;
-  CHECK(FormatMetrics(f) ==
+TEST_CASE("metrics are formatted as lines of name, value and type") {
+  Metrics metrics;
+  metrics.classes = {{"get-tarball", 812, 3, 1}, {"publish", 0, 0, 0}};
+  metrics.upstream_tries = 900;
+  metrics.in_progress = 14;
+  metrics.known_cache_servers = 9;
+  metrics.skipped_cache_servers = 1;
+  CHECK(FormatMetrics(metrics) ==
         "router.passed.get-tarball:812|c\nrouter.dropped.get-tarball:3|c\nrouter.bad_gateway.get-tarball:1|"
         "c\n"
         "router.passed.publish:0|c\nrouter.dropped.publish:0|c\nrouter.bad_gateway.publish:0|c\n"
@@ -112,7 +112,7 @@
         "router.skipped_cache_servers:1|g\n");
 }
 
-TEST_CASE("operator state survives its text form, and a torn or foreign file is refused") {
+TEST_CASE("operator state is decoded as it was encoded, and an incomplete or foreign text is refused") {
   OperatorState state;
   state.suspended = {"s-1", "s-2"};
   const std::string text = Encode(state);
@@ -127,49 +127,51 @@
   CHECK_FALSE(Decode(text + "suspended s-3\n"));
 }
 
-// ---- The program's door ----
+// ---- The admin interface of the program ----
 
 namespace {
 
-std::string Call(const std::string& door, const std::string& text) {
+std::string Call(const std::string& address, const std::string& text) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(door.substr(door.rfind(':') + 1))));
+  at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
   REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   fd.Write(text);
   std::string all;
   for (std::string part = fd.Until("\n"); !part.empty(); part = fd.Until("\n")) all += part;
   return all;
 }
-std::string Get(const std::string& door, const std::string& path) {
-  return Call(door, "GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n");
+std::string Get(const std::string& address, const std::string& path) {
+  return Call(address, "GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n");
 }
-std::string Post(const std::string& door, const std::string& path) {
-  return Call(door, "POST " + path + " HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n");
+std::string Post(const std::string& address, const std::string& path) {
+  return Call(address, "POST " + path + " HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n");
 }
 int Status(const std::string& answer) { return answer.size() > 12 ? std::stoi(answer.substr(9, 3)) : 0; }
 
-struct DoorRouter {
+// A router process with an admin interface, two cache servers, an origin and a discovery.
+struct AdminRouter {
   Listener discovery, origin, nodes[2];
-  std::string dir;
+  std::string directory;  // its $TMPDIR
   Process process;
-  explicit DoorRouter(std::string state_dir = {}) : dir(std::move(state_dir)) {
-    if (dir.empty()) {
+  explicit AdminRouter(std::string state_directory = {}) : directory(std::move(state_directory)) {
+    if (directory.empty()) {
       char path[] = "/tmp/brasswood-door-XXXXXX";
       REQUIRE(::mkdtemp(path) != nullptr);
-      dir = path;
+      directory = path;
     }
-    process = StartBeside();
+    process = StartProcess();
   }
-  Process StartBeside() const {
+  // Starts another process of the same router: same name and $TMPDIR, ports of its own.
+  Process StartProcess() const {
     std::string config =
         Router::Config(discovery.address(), Target("s0", nodes[0].address(), "in_service") + "," +
                                                 Target("s1", nodes[1].address(), "in_service") + "," +
                                                 Target("o1", origin.address(), "in_service", 0, "origin"));
     config.insert(1, R"("admin_addr":"127.0.0.1:0",)");
-    return Start(config, discovery.address(), {"TMPDIR=" + dir});
+    return Start(config, discovery.address(), {"TMPDIR=" + directory});
   }
   Fd Connect(const Process& p) const {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -184,13 +186,14 @@
 
 }  // namespace
 
-TEST_CASE("a router without admin_addr has no door") {
+TEST_CASE("a router without admin_addr has no admin interface") {
   Router router("");
   CHECK(router.process.door.empty());
 }
 
-TEST_CASE("the door: ready, figures after known traffic, unknown paths and methods") {
-  DoorRouter r;
+TEST_CASE(
+    "the admin interface answers readiness, metrics after known traffic, and unknown paths and methods") {
+  AdminRouter r;
   REQUIRE_FALSE(r.process.door.empty());
   CHECK(Status(Get(r.process.door, "/v1/readyz")) == 200);
   CHECK(Status(Get(r.process.door, "/v1/nothing")) == 404);
@@ -213,12 +216,12 @@
   CHECK(after.find("router.in_progress:0|g\n") != std::string::npos);
   CHECK(after.find("router.known_cache_servers:2|g\n") != std::string::npos);
   CHECK(after.find("router.skipped_cache_servers:0|g\n") != std::string::npos);
-  // A miss goes to the origin: that attempt counts among the tries too.
-  attempt.Close();  // so that the next attempt comes on a new connection, whichever node it goes to
+  // A miss goes on to the origin: that attempt counts as an upstream try too.
+  attempt.Close();  // so that the next attempt comes on a new connection, whichever cache server it goes to
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   client.Write(Read("m", "a2"));
   const std::size_t home = FirstCalled({&r.nodes[0], &r.nodes[1], &r.origin});
-  REQUIRE(home < 2);  // a node first
+  REQUIRE(home < 2);  // a cache server first
   Fd missed = r.nodes[home].Accept();
   CHECK(missed.Line().starts_with("mg m v Oa2"));
   missed.Write("EN Oa2\r\n");
@@ -230,10 +233,10 @@
   CHECK(Get(r.process.door, "/v1/metrics").find("router.upstream_tries:3|c\n") != std::string::npos);
 }
 
-TEST_CASE("the door answers while callers hold it silent or with half a call") {
-  DoorRouter r;
+TEST_CASE("the admin interface answers while other callers send nothing or half a call") {
+  AdminRouter r;
   std::vector<Fd> silent;
-  for (int i = 0; i < 40; ++i) {  // more than it keeps
+  for (int i = 0; i < 40; ++i) {  // more than Limits::door_callers
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -245,24 +248,25 @@
     silent.push_back(std::move(fd));
   }
   CHECK(Status(Get(r.process.door, "/v1/readyz")) == 200);
-  // The half call is told at its deadline, or closed to make way; it is never left hanging.
-  const std::string told = silent.back().Until("\r\n\r\n");
-  CHECK((told.empty() || Status(told) == 400));
+  // The half call is answered at its deadline, or closed for a newer one; it never stays open.
+  const std::string answer = silent.back().Until("\r\n\r\n");
+  CHECK((answer.empty() || Status(answer) == 400));
 }
 
-TEST_CASE("suspend and resume by hand: unknown ids are a no, the suspended one gets nothing new") {
-  DoorRouter r;
+TEST_CASE("suspend and resume: unknown ids are refused, and a suspended server gets no new attempt") {
+  AdminRouter r;
   CHECK(Status(Post(r.process.door, "/v1/cache-servers/s-nobody/suspend")) == 404);
   CHECK(Status(Post(r.process.door, "/v1/cache-servers/s-nobody/resume")) == 404);
   REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
   REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
-  std::this_thread::sleep_for(std::chrono::milliseconds(600));  // past the part of the grace
+  // Attempts may still be sent until half of the grace period is over.
+  std::this_thread::sleep_for(std::chrono::milliseconds(600));
   Fd client = r.Connect(r.process);
-  std::vector<Fd> attempts;  // none is answered before all are out: each has a connection of its own
+  std::vector<Fd> attempts;  // answered only once all are sent, so that each has a connection of its own
   for (int i = 0; i < 4; ++i) {
     client.Write(Read("key" + std::to_string(i), "a" + std::to_string(i)));
-    REQUIRE(FirstCalled({&r.nodes[0], &r.nodes[1]}) == 1);  // never the suspended one
+    REQUIRE(FirstCalled({&r.nodes[0], &r.nodes[1]}) == 1);  // never the suspended server
     attempts.push_back(r.nodes[1].Accept());
     CHECK(attempts.back().Line().starts_with("mg key" + std::to_string(i)));
   }
@@ -272,52 +276,53 @@
     CHECK(client.Line() == "VA 1 O" + id + "\r\n");
     CHECK(client.Line() == "x\r\n");
   }
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/resume")) == 200);  // one undoes both
+  // One resume undoes both suspends.
+  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/resume")) == 200);
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
 }
 
-TEST_CASE("a suspension holds over a replacement: the new process takes it from the shared state") {
-  DoorRouter r;
+TEST_CASE("a suspension survives a replacement: the new process reads it from the shared state") {
+  AdminRouter r;
   REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s1/suspend")) == 200);
-  Process second = r.StartBeside();  // same name, same TMPDIR, the clients' address its own
+  Process second = r.StartProcess();
   REQUIRE_FALSE(second.door.empty());
   CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
   REQUIRE(Status(Post(second.door, "/v1/cache-servers/s1/resume")) == 200);
-  std::this_thread::sleep_for(std::chrono::milliseconds(700));  // the old one reads it too
+  std::this_thread::sleep_for(std::chrono::milliseconds(700));  // the old process reads the file too
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
 }
 
-TEST_CASE(
-    "a ban that the disk does not take holds in memory, says so, and is stored once the disk is back") {
-  DoorRouter r;
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) ==
-          200);  // the file is there, without s1
-  const std::string side =
-      r.dir + "/brasswood-n1.operator." + std::to_string(r.process.pid) + ".new";  // what it writes first
-  std::filesystem::create_directories(side + "/in-the-way");
+TEST_CASE("a suspension that cannot be stored takes effect, its answer says so, and it is stored later") {
+  AdminRouter r;
+  // Now the file exists, without s1.
+  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
+  // The temporary file cannot be written where a directory has its name.
+  const std::string temporary =
+      r.directory + "/brasswood-n1.operator." + std::to_string(r.process.pid) + ".new";
+  std::filesystem::create_directories(temporary + "/in-the-way");
   const std::string answer = Post(r.process.door, "/v1/cache-servers/s1/suspend");
   CHECK(Status(answer) == 200);
   CHECK(answer.find("held in memory only, not stored") != std::string::npos);
-  // Not undone by the file, which is read again every 250 ms.
+  // The file, which is read every 250 ms, does not undo it.
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") != std::string::npos);
-  std::filesystem::remove_all(side);
+  std::filesystem::remove_all(temporary);
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
-  Process second = r.StartBeside();
+  Process second = r.StartProcess();
   CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") != std::string::npos);
   CHECK(Post(r.process.door, "/v1/cache-servers/s1/resume").find("not stored") == std::string::npos);
 }
 
-// The file's place is taken by a pipe that nobody writes: whoever opens it to read waits, as on a dead
-// disk.
+// The file is replaced by a pipe without a writer: opening it for reading blocks, as on a disk that does
+// not answer.
 TEST_CASE(
-    "a disk that stalls holds up no call, no request and no exit, and takes the ban once it is back") {
-  DoorRouter r;
+    "a stalled disk delays no call, no request and no exit, and the suspension is stored once it works") {
+  AdminRouter r;
   REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
-  const std::string file = r.dir + "/brasswood-n1.operator";
+  const std::string file = r.directory + "/brasswood-n1.operator";
   REQUIRE(::unlink(file.c_str()) == 0);
   REQUIRE(::mkfifo(file.c_str(), 0600) == 0);
-  // The next look is stuck.
+  // The next read is stuck.
   while (r.process.err.Until("\n").find("the disk does not answer") == std::string::npos) {
   }
   const std::string answer = Post(r.process.door, "/v1/cache-servers/s0/resume");
@@ -331,50 +336,50 @@
   CHECK(attempt.Line().starts_with("mg k v Oa1"));
   attempt.Write("VA 1 Oa1\r\nx\r\n");
   CHECK(client.Line() == "VA 1 Oa1\r\n");
-  SECTION("an exit does not wait for it") {
+  SECTION("the exit does not wait for the disk") {
     REQUIRE(::kill(r.process.pid, SIGTERM) == 0);
     CHECK(r.process.Wait() == 0);
   }
-  SECTION("and what was said last is stored when it answers again") {
+  SECTION("the latest change is stored when the disk answers again") {
     Fd back(::open(file.c_str(), O_WRONLY | O_CLOEXEC));
     back.Close();
     while (r.process.err.Until("\n").find("operator state is stored again") == std::string::npos) {
     }
-    Process second = r.StartBeside();
+    Process second = r.StartProcess();
     CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
   }
 }
 
-TEST_CASE("work on the disk's thread: the last of a name waits, and its word comes when it is asked for") {
+TEST_CASE("the disk thread runs only the latest waiting work of a name, and delivers results on request") {
   DiskThread disk;
-  std::mutex gate;
-  std::vector<int> done, told;
-  gate.lock();
+  std::mutex disk_busy;
+  std::vector<int> done, delivered;
+  disk_busy.lock();
   disk.Put("a", [&]() -> DiskThread::Call {
-    const std::lock_guard wait(gate);
-    return [&] { told.push_back(0); };
+    const std::lock_guard wait(disk_busy);
+    return [&] { delivered.push_back(0); };
   });
   while (disk.Stuck().count() == 0) std::this_thread::yield();
   for (int i = 1; i <= 1000; ++i) {
     disk.Put("b", [&, i]() -> DiskThread::Call {
       done.push_back(i);
-      return [&, i] { told.push_back(i); };
+      return [&, i] { delivered.push_back(i); };
     });
   }
   CHECK(disk.Has("a"));
   CHECK(disk.Has("b"));
   disk.Deliver();
-  CHECK(told.empty());
-  gate.unlock();
+  CHECK(delivered.empty());
+  disk_busy.unlock();
   while (disk.Has("b")) std::this_thread::yield();
   disk.Deliver();
   CHECK(done == std::vector<int>{1000});
-  CHECK(told == std::vector<int>{0, 1000});
+  CHECK(delivered == std::vector<int>{0, 1000});
 }
 
-TEST_CASE("files are whole or as they were") {
-  DoorRouter r;  // for its folder
-  const std::string path = r.dir + "/kept";
+TEST_CASE("a file is written completely or stays as it was") {
+  AdminRouter r;  // for its directory
+  const std::string path = r.directory + "/kept";
   std::string why;
   CHECK_FALSE(ReadWhole(path, 10, why));
   CHECK(why.empty());
@@ -388,18 +393,19 @@
   CHECK(ReadWhole(path, 10, why) == "one");
 }
 
-TEST_CASE("a torn state file is ignored with one line, and the router starts") {
+TEST_CASE("an incomplete state file is ignored, and the router starts") {
   char path[] = "/tmp/brasswood-door-XXXXXX";
   REQUIRE(::mkdtemp(path) != nullptr);
   std::ofstream(std::string(path) + "/brasswood-n1.operator")
       << "brasswood operator state 1\nsuspended s0\n";
-  DoorRouter r(path);
+  AdminRouter r(path);
   REQUIRE_FALSE(r.process.door.empty());
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
 }
 
-TEST_CASE("drain by hand: mn says no, idle connections close, activate says yes again") {
-  DoorRouter r;
+TEST_CASE(
+    "draining: mn is answered with an error and idle connections close, until the router is activated") {
+  AdminRouter r;
   Fd idle = r.Connect(r.process);
   idle.Write("mn\r\n");
   CHECK(idle.Line() == "MN\r\n");
@@ -409,12 +415,12 @@
   CHECK(attempt.Line().starts_with("mg k v Ob1"));
   REQUIRE(Status(Post(r.process.door, "/v1/router/drain")) == 200);
   CHECK(Status(Get(r.process.door, "/v1/readyz")) == 503);
-  CHECK(idle.Ended());                 // let go at once
-  attempt.Write("VA 1 Ob1\r\nx\r\n");  // what was taken is answered, then the connection closes
+  CHECK(idle.Ended());                 // an idle connection is closed at once
+  attempt.Write("VA 1 Ob1\r\nx\r\n");  // an accepted request is answered, then its connection is closed
   CHECK(busy.Line() == "VA 1 Ob1\r\n");
   CHECK(busy.Line() == "x\r\n");
   CHECK(busy.Ended());
-  Fd probe = r.Connect(r.process);  // new ones are still served, and told no
+  Fd probe = r.Connect(r.process);  // a new connection is still accepted
   probe.Write("mn\r\n");
   CHECK(probe.Line().starts_with("SERVER_ERROR"));
   REQUIRE(Status(Post(r.process.door, "/v1/router/activate")) == 200);
@@ -424,7 +430,7 @@
   CHECK(again.Line() == "MN\r\n");
 }
 
-TEST_CASE("two processes of one router share its limits, and a single one has them whole") {
+TEST_CASE("two processes of one router divide its limits, and a single one has all of them") {
   Limits whole;
   whole.attempt_conns = 168;
   whole.clients = 168;
@@ -440,37 +446,38 @@
   CHECK(half.requests <= half.clients);
   CHECK(half.resting <= half.clients);
   CHECK(half.resting_again <= half.clients);
-  CHECK(half.value == whole.value);  // sizes and times stay
+  CHECK(half.value == whole.value);  // sizes and times are not divided
   CHECK(half.speak == whole.speak);
   Limits tiny;
   tiny.attempt_conns = tiny.clients = 6;
-  CHECK(LimitsPerProcess(tiny, 3).attempt_conns >= 4);  // never none
+  CHECK(LimitsPerProcess(tiny, 3).attempt_conns >= 4);  // the minimum
 }
 
-TEST_CASE("live marks count the processes of one router, and a mark not renewed counts no more") {
+TEST_CASE(
+    "heartbeat files count the processes of one router, and one that is not renewed no longer counts") {
   char path[] = "/tmp/brasswood-live-XXXXXX";
   REQUIRE(::mkdtemp(path) != nullptr);
-  HeartbeatFiles mine(path, "n1", std::chrono::milliseconds(300));
-  CHECK(mine.RenewAndCount() == 1);
-  std::ofstream(std::string(path) + "/brasswood-n1.live.999999") << "999999\n";  // another, just now
-  std::ofstream(std::string(path) + "/brasswood-n2.live.999998") << "999998\n";  // another router's name
-  CHECK(mine.RenewAndCount() == 2);
+  HeartbeatFiles own(path, "n1", std::chrono::milliseconds(300));
+  CHECK(own.RenewAndCount() == 1);
+  std::ofstream(std::string(path) + "/brasswood-n1.live.999999") << "999999\n";  // another process
+  std::ofstream(std::string(path) + "/brasswood-n2.live.999998") << "999998\n";  // of another router
+  CHECK(own.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  CHECK(mine.RenewAndCount() == 1);  // the other stopped renewing its mark
+  CHECK(own.RenewAndCount() == 1);  // the other process stopped renewing its file
 }
 
-TEST_CASE("a mark of a process that has gone counts no more, though the clock was set back since") {
+TEST_CASE("the file of an ended process no longer counts, even if the clock was set back since") {
   char path[] = "/tmp/brasswood-live-XXXXXX";
   REQUIRE(::mkdtemp(path) != nullptr);
-  HeartbeatFiles mine(path, "n1", std::chrono::milliseconds(100));
+  HeartbeatFiles own(path, "n1", std::chrono::milliseconds(100));
   const std::string other = std::string(path) + "/brasswood-n1.live.999999";
   std::ofstream(other) << "999999\n";
-  CHECK(mine.RenewAndCount() == 2);
+  CHECK(own.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  CHECK(mine.RenewAndCount() == 1);
+  CHECK(own.RenewAndCount() == 1);
   const auto later = std::filesystem::file_time_type::clock::now() + std::chrono::hours(1);
-  std::filesystem::last_write_time(other, later);  // renewed, by another clock
-  CHECK(mine.RenewAndCount() == 2);
+  std::filesystem::last_write_time(other, later);  // as if renewed under another clock
+  CHECK(own.RenewAndCount() == 2);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  CHECK(mine.RenewAndCount() == 1);
+  CHECK(own.RenewAndCount() == 1);
 }
