--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -1,5 +1,5 @@
-// Kept state: its text form against every kind of damage, what is believed of it, and a router that begins
-// again from it.
+// Persisted state: its text format against every kind of damage, how its age lowers the confidence in it,
+// and a router that restarts from it.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
@@ -46,7 +46,7 @@
   }
   ~StateFolder() { std::filesystem::remove_all(path); }
   std::string file() const { return path + "/n1.state"; }
-  // Waits until a snapshot of a list of at least that version is there.
+  // Waits for a snapshot whose list has at least version `rev`.
   Snapshot Await(std::int64_t rev) const {
     for (;;) {
       std::string why;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("a snapshot comes back as it was") {
+TEST_CASE("a snapshot is decoded as it was encoded") {
   const Snapshot s = Sample();
   std::string why;
   const auto back = DecodeSnapshot(Encode(s), why);
@@ -71,7 +71,7 @@
   CHECK(back->learnt.keys[3].holders == s.learnt.keys[3].holders);
 }
 
-TEST_CASE("a snapshot that is torn, changed or of another layout is left aside, never taken for one") {
+TEST_CASE("a snapshot that is incomplete, changed or in another format is refused") {
   const std::string text = Encode(Sample());
   std::string why;
   for (std::size_t n = 0; n < text.size(); ++n) {
@@ -86,23 +86,23 @@
   newer.replace(newer.find("state 1"), 7, "state 2");
   CHECK_FALSE(DecodeSnapshot(newer, why));
   CHECK(why == "of another layout");
-  // Sound by its checksum, and yet it names what is not there.
-  Snapshot wild = Sample();
-  wild.learnt.servers[0].id = 7;
-  CHECK_FALSE(DecodeSnapshot(Encode(wild), why));
-  wild = Sample();
-  wild.learnt.keys[0].holders = {99};
-  CHECK_FALSE(DecodeSnapshot(Encode(wild), why));
+  // The checksum is right, but the snapshot refers to servers that it does not list.
+  Snapshot invalid = Sample();
+  invalid.learnt.servers[0].id = 7;
+  CHECK_FALSE(DecodeSnapshot(Encode(invalid), why));
+  invalid = Sample();
+  invalid.learnt.keys[0].holders = {99};
+  CHECK_FALSE(DecodeSnapshot(Encode(invalid), why));
 }
 
-TEST_CASE("the older what was learnt, the less it is believed") {
+TEST_CASE("the confidence in learnt state falls with its age") {
   CHECK(Faith(0s, 300s, 3600s) == 1);
   CHECK(Faith(300s, 300s, 3600s) == Approx(0.5));
   CHECK(Faith(3601s, 300s, 3600s) == 0);
   CHECK(Faith(-1s, 300s, 3600s) == 0);
 }
 
-TEST_CASE("state settings: what is wrong is one plain line") {
+TEST_CASE("state settings: an error is reported as one line") {
   CHECK(ReadStateSettings(R"({"state":{"folder":"/x","keys":16}})").keys == 16);
   for (const char* bad :
        {"", "[]", "{}", R"({"state":{}})", R"({"state":{"folder":1}})",
@@ -112,7 +112,7 @@
   }
 }
 
-TEST_CASE("an old list is tried one attempt at a time until discovery or an answer confirms it") {
+TEST_CASE("servers of an old list get one attempt at a time until discovery or an answer confirms them") {
   Startup s;
   CHECK(s.phase() == Startup::Phase::kListening);
   s.Listed(ListKind::kRemembered, true);
@@ -124,14 +124,14 @@
   CHECK_FALSE(s.MayTry(1, false));
   s.Listed(ListKind::kAll, false);
   CHECK(s.MayTry(1, false));
-  s.Listed(ListKind::kRemembered, true);  // nothing takes that back
+  s.Listed(ListKind::kRemembered, true);  // a confirmation is not taken back
   CHECK(s.MayTry(1, false));
   Startup fresh;
   fresh.Listed(ListKind::kRemembered, false);
   CHECK(fresh.MayTry(1, false));
 }
 
-TEST_CASE("a router begins again from what it kept, bans among it, while discovery says nothing") {
+TEST_CASE("a router restarts from its snapshot, suspensions included, while discovery does not answer") {
   StateFolder state;
   Listener discovery, silent, node, other;
   const std::string list =
@@ -143,68 +143,67 @@
     WatchCall(watch);
     watch.Write(Http(List(7, true, list)));
     WatchCall(watch);
-    const Snapshot kept = state.Await(7);
-    CHECK(kept.list.entries.size() == 2);
+    const Snapshot stored = state.Await(7);
+    CHECK(stored.list.entries.size() == 2);
     REQUIRE(::kill(first.pid, SIGKILL) == 0);
   }
-  // An operator's ban, as if said just before the end.
-  Snapshot banned = state.Await(7);
-  banned.suspended = {"s2"};
+  // As if an operator had suspended s2 just before the process ended.
+  Snapshot suspended = state.Await(7);
+  suspended.suspended = {"s2"};
   std::string why;
-  REQUIRE(WriteWhole(state.file(), Encode(banned), why));
-  Process again =
+  REQUIRE(WriteWhole(state.file(), Encode(suspended), why));
+  Process restarted =
       Start(Router::Config(silent.address(), ""), silent.address(), {"BRASSWOOD_STATE=" + state.settings});
   Fd client(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at.sin_port =
-      htons(static_cast<std::uint16_t>(std::stoi(again.listen.substr(again.listen.rfind(':') + 1))));
+  at.sin_port = htons(
+      static_cast<std::uint16_t>(std::stoi(restarted.listen.substr(restarted.listen.rfind(':') + 1))));
   REQUIRE(::connect(client.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   for (int i = 0; i < 4; ++i) {
     const std::string id = "a" + std::to_string(i);
     client.Write(Read("key" + std::to_string(i), id));
-    REQUIRE(FirstCalled({&node, &other}) == 0);  // never the banned one
+    REQUIRE(FirstCalled({&node, &other}) == 0);  // never the suspended server
     Fd attempt = node.Accept();
     CHECK(attempt.Line().starts_with("mg key" + std::to_string(i)));
     attempt.Write("VA 1 O" + id + "\r\nx\r\n");
     CHECK(client.Line() == "VA 1 O" + id + "\r\n");
     CHECK(client.Line() == "x\r\n");
   }
-  // It knows no more than what was kept, and does not write over that.
+  // Discovery has not confirmed its list, so it does not overwrite the snapshot.
   CHECK(state.Await(7).suspended == std::set<std::string>{"s2"});
 }
 
-TEST_CASE(
-    "what was kept is left aside where it is another's, torn, or from the future, and the older one "
-    "serves") {
+TEST_CASE("a snapshot of another router, incomplete or from the future is not used, and the older one is") {
   StateFolder state;
   Listener discovery, node;
   Snapshot s = Sample();
   s.taken = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
-  // The start of a router with these two generations: its log says what becomes of them.
-  const auto says = [&](const std::string& text, const std::string& older, const std::string& what) {
-    std::ofstream(state.file(), std::ios::trunc) << text;
+  // Starts a router with the two generations of its snapshot file. Whether its log contains `expected`.
+  const auto logs = [&](const std::string& newer, const std::string& older, const std::string& expected) {
+    std::ofstream(state.file(), std::ios::trunc) << newer;
     std::ofstream(state.file() + ".1", std::ios::trunc) << older;
     const Process p = Start(Router::Config(discovery.address(), ""), discovery.address(),
                             {"BRASSWOOD_STATE=" + state.settings});
-    return p.said.find(what) != std::string::npos && !p.listen.empty();
+    return p.said.find(expected) != std::string::npos && !p.listen.empty();
   };
-  const std::string sound = Encode(s);
+  const std::string valid = Encode(s);
   s.router = "n2";
-  const std::string others = Encode(s);
+  const std::string other_routers = Encode(s);
   s.router = "n1";
   s.taken += 1h;
   const std::string future = Encode(s);
-  CHECK(says(others, "", "of another router"));
-  CHECK(says(others, sound, "2 servers, 49 keys, 1 suspended"));
-  CHECK(says(sound.substr(0, sound.size() / 2), sound, "2 servers, 49 keys"));
-  CHECK(says(sound.substr(0, sound.size() / 2), "", "torn"));
-  CHECK(says(future, "", "in the future"));
-  CHECK(says("", "", "torn"));
+  CHECK(logs(other_routers, "", "of another router"));
+  CHECK(logs(other_routers, valid, "2 servers, 49 keys, 1 suspended"));
+  CHECK(logs(valid.substr(0, valid.size() / 2), valid, "2 servers, 49 keys"));
+  CHECK(logs(valid.substr(0, valid.size() / 2), "", "torn"));
+  CHECK(logs(future, "", "in the future"));
+  CHECK(logs("", "", "torn"));
 }
 
-// Hidden: run by name, for docs/COMING_BACK.md. What a snapshot of so many keys costs.
+// Hidden: run by name. Measures how long it takes to encode, decode and copy a snapshot, for the figures in
+// docs/COMING_BACK.md.
 TEST_CASE("the cost of a snapshot", "[.measure]") {
   for (const std::size_t keys : {std::size_t{8192}, std::size_t{65536}}) {
     Snapshot s = Sample();
@@ -228,8 +227,8 @@
     at = now();
     const Snapshot copy = s;
     const double copied = ms(now() - at);
-    std::printf("%zu keys: %zu bytes, put into words in %.1f ms, read in %.1f ms, copied in %.1f ms\n",
-                keys, text.size(), encode, decode, copied);
+    std::printf("%zu keys: %zu bytes, encoded in %.1f ms, decoded in %.1f ms, copied in %.1f ms\n", keys,
+                text.size(), encode, decode, copied);
     CHECK(copy.learnt.keys.size() == keys);
   }
 }
