--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -74,7 +74,7 @@
   Engine& engine_;
   const Counters& counters_;
   const Names& names_;
-  FrontHooks front_;
+  ClientFrontHooks front_;
   const Limits& limits_;
   Deadlines& deadlines_;
   std::function<Time()> now_;
