--- a/src/admin/calls.h
+++ b/src/admin/calls.h
@@ -11,6 +11,7 @@
 
 enum class CallKind { kReady, kMetrics, kSuspend, kResume, kDrain, kActivate };
 
+// The call that a request asks for, or why there is none.
 struct Route {
   int status = 0;  // 0: found; else 404 (no such path) or 405 (the path takes another method)
   CallKind kind = CallKind::kReady;
@@ -28,7 +29,7 @@
 class Operations {
  public:
   virtual ~Operations() = default;
-  virtual bool Ready() const = 0;
+  virtual bool Ready() const = 0;  // whether the router is ready to serve
   virtual std::string MetricsText() const = 0;
   // Both return false if no cache server with that id is known.
   virtual bool Suspend(const std::string& id) = 0;
@@ -37,6 +38,7 @@
   // Limits::state_disk_timeout with the reason why it is held in memory only (a restart of the process
   // would lose it). Never calls it before returning.
   virtual void WhenKept(std::function<void(const std::string& error)> callback) = 0;
+  // Closes client connections once they are idle and reports not ready, until Activate.
   virtual void Drain() = 0;
   virtual void Activate() = 0;
 };
@@ -49,8 +51,7 @@
   bool kept = false;
 };
 
-// The body of an answer whose change could not be stored because of `error`; `body` itself if that is
-// empty.
+// Adds to an answer's body that its change could not be stored because of `error`, unless that is empty.
 std::string HeldOnly(const std::string& body, const std::string& error);
 
 // Executes a call and returns its answer. `method` and `path` are as received.
