--- a/src/admin/figures.h
+++ b/src/admin/figures.h
@@ -10,6 +10,7 @@
 
 namespace brasswood {
 
+// The metrics of one request class.
 struct ClassMetrics {
   std::string name;                                        // of the request class, from the settings
   std::uint64_t passed = 0, dropped = 0, bad_gateway = 0;  // served, refused, failed
@@ -17,9 +18,10 @@
 
 struct Metrics {
   std::vector<ClassMetrics> classes;
-  std::uint64_t upstream_tries = 0;  // attempts sent completely, to cache servers and the origin
-  std::uint64_t in_progress = 0;     // requests accepted and not yet answered
-  std::uint64_t known_cache_servers = 0, skipped_cache_servers = 0;
+  std::uint64_t upstream_tries = 0;         // attempts sent completely, to cache servers and the origin
+  std::uint64_t in_progress = 0;            // requests accepted and not yet answered
+  std::uint64_t known_cache_servers = 0;    // listed in service or terminating
+  std::uint64_t skipped_cache_servers = 0;  // of those, suspended by operators or avoided by the module
 };
 
 // Writes router.passed.C, router.dropped.C and router.bad_gateway.C for each class C in the order of the
