--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -61,12 +61,11 @@
     std::optional<OperatorState> state;
     std::string error;  // why there is no state; empty if there is no file
   };
-  // Operators have changed the state: stores it.
-  void StateChanged();
+  void StateChanged();  // operators have changed the state: stores it
   void Save();
   void Saved(std::uint64_t change, bool ok, const std::string& error);
   void PollDisk();
-  void ReadDisk();
+  void ReadDisk();  // starts a DiskReading
   void Apply(const DiskReading& reading);
   void SetProcessCount(std::size_t live_processes);
   void ScheduleWaiterCheck();
