--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -15,6 +15,7 @@
 
 namespace brasswood {
 
+// The rules. The names below, not those of the enumerators, are printed.
 enum class Invariant : std::size_t {
   kAnsweredOnce,       // a request has exactly one answer
   kAnsweredInTime,     // it is answered at most Invariants::kMostLate after its deadline
@@ -32,6 +33,7 @@
     "answered_once",   "answered_in_time", "answered_before_end", "sent_in_time", "sent_for_open",
     "sent_to_serving", "sent_alone",       "sent_harmlessly",     "no_late_work"};
 
+// Counts the violations of each invariant.
 class Invariants {
  public:
   // How long after its request's deadline an answer may come: the process may have been stalled.
