--- a/src/config/config.h
+++ b/src/config/config.h
@@ -19,6 +19,7 @@
   using std::runtime_error::runtime_error;
 };
 
+// All that a router is configured with.
 struct Config {
   std::string name;
   std::string listen, discovery;  // addresses, "a.b.c.d:port"
