--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -50,8 +50,7 @@
 
   Duration connect{std::chrono::milliseconds(200)};  // to connect to a server
   // From sending the last byte of an attempt to its arrival at the server. A repeat must arrive within the
-  // deduplication window of the first attempt, so it is sent this much before the window ends at the
-  // latest.
+  // deduplication window of the first attempt, so it must be sent at least this long before its end.
   Duration transit{std::chrono::milliseconds(25)};
   Duration idle{std::chrono::seconds(3)};          // an idle connection to a server is kept this long
   Duration probe{std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
