--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -19,6 +19,7 @@
   std::vector<std::string> classes, tenants, zones, kinds;
 };
 
+// The contents of a settings object.
 struct SettingsRead {
   beechledge::Settings module;
   Names names;
