--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -190,12 +190,12 @@
 }
 
 void RouterOperations::Drain() {
-  LogLine(Level::kInfo) << "draining, as called for by an operator: idle client connections are closed";
+  LogLine(Level::kInfo) << "drain requested by an operator: idle client connections are closed";
   front_.set_draining(true);
 }
 
 void RouterOperations::Activate() {
-  LogLine(Level::kInfo) << "active again, as called for by an operator";
+  LogLine(Level::kInfo) << "activation requested by an operator: client connections stay open again";
   front_.set_draining(false);
 }
 
