--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,4 +1,4 @@
-// Every deadline of the router, in one ordered structure: those due at one moment run in the order in which
+// The router's timers in one ordered structure. Timers due at the same moment run in the order in which
 // they were set.
 #ifndef BRASSWOOD_CORE_DEADLINES_H_
 #define BRASSWOOD_CORE_DEADLINES_H_
@@ -18,12 +18,12 @@
   using Id = std::pair<Time, std::uint64_t>;  // {0, 0}: none
 
   Id Set(Time at, std::function<void()> run) {
-    const Id id{at, ++last_};
+    const Id id{at, ++last_sequence_};
     due_.emplace(id, std::move(run));
     if (due_.begin()->first == id && on_earlier_) on_earlier_();
     return id;
   }
-  // Takes the deadline back and forgets its id; one that has run or was never set is passed over.
+  // Cancels the deadline and clears `id`. Does nothing if it has already run or was never set.
   void Drop(Id& id) {
     due_.erase(id);
     id = {};
@@ -31,25 +31,25 @@
   std::optional<Time> Next() const {
     return due_.empty() ? std::nullopt : std::optional<Time>(due_.begin()->first.first);
   }
-  // Runs what is due at `now`. What is set meanwhile waits for the next call, so that a deadline that sets
-  // itself again cannot hold the loop.
+  // Runs the deadlines due at `now`. A deadline set during this call waits for the next call, so that one
+  // that sets itself again cannot block the event loop.
   void Run(Time now) {
-    const std::uint64_t until = last_;
+    const std::uint64_t last_before = last_sequence_;
     while (!due_.empty()) {
       auto it = due_.begin();
-      while (it != due_.end() && it->first.second > until) ++it;
+      while (it != due_.end() && it->first.second > last_before) ++it;
       if (it == due_.end() || it->first.first > now) return;
       const auto run = std::move(it->second);
       due_.erase(it);
       run();
     }
   }
-  // Called whenever the earliest deadline moves forward.
+  // Sets a callback that runs whenever a new deadline becomes the earliest one.
   void OnEarlier(std::function<void()> call) { on_earlier_ = std::move(call); }
 
  private:
   std::map<Id, std::function<void()>> due_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_sequence_ = 0;
   std::function<void()> on_earlier_;
 };
 
