--- a/src/core/slots.h
+++ b/src/core/slots.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. An id is the slot's number and its generation, so an id that outlives its
-// record finds nothing instead of the slot's next tenant. Ids are never 0 and never repeated.
+// A slot map. An id combines a slot index with the slot's generation, so that an id whose record was
+// removed finds nothing instead of the next record in the same slot. Ids are never 0 and never reused.
 #ifndef BRASSWOOD_CORE_SLOTS_H_
 #define BRASSWOOD_CORE_SLOTS_H_
 
@@ -28,7 +28,7 @@
     ++size_;
     return Id{slot.generation} << 32 | number;
   }
-  // Pointers hold until the next Add.
+  // The pointer is valid until the next Add.
   T* Find(Id id) {
     const auto number = static_cast<std::uint32_t>(id);
     if (number >= slots_.size()) return nullptr;
@@ -41,7 +41,7 @@
     const auto number = static_cast<std::uint32_t>(id);
     Slot& slot = slots_[number];
     slot.value.reset();
-    if (++slot.generation != 0) free_.push_back(number);  // a slot whose numbers ran out is not used again
+    if (++slot.generation != 0) free_.push_back(number);  // a slot whose generations ran out is not reused
     --size_;
     return true;
   }
