--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,11 +1,12 @@
-// The graceful shutdown of a router as a small state machine. Free of I/O.
+// The graceful shutdown of a router as a state machine. Does no I/O.
 //
 //   serving --Begin--> accepting --Limits::linger--> refusing --Limits::stop_within--> time up
 //
-// While accepting, the listener stays open and all is served as before: whoever deals out connections has
-// not heard yet. From the last moment for new work on, every request that is read is refused at once: the
-// process may be killed before it could be answered. What was taken before has its whole time, up to the
-// bound; at the bound whatever is still open is failed, so that each request has its final answer.
+// While accepting, the listener stays open and requests are served as before, because the load balancer in
+// front does not know about the shutdown yet. From last_new_work() on, every request that is read is
+// refused at once, because the process may be killed before it could be answered. A request accepted
+// earlier keeps its whole deadline, up to time_up(). At time_up() every request that is still open is
+// failed, so that each request gets a final answer.
 #ifndef BRASSWOOD_CORE_SHUTDOWN_H_
 #define BRASSWOOD_CORE_SHUTDOWN_H_
 
@@ -22,10 +23,10 @@
 
   explicit Shutdown(const Limits& limits) : limits_(limits) {}
 
-  // The signal came at `at`. Once.
+  // The stop signal was received at `at`. Call it once.
   void Begin(Time at) { begun_ = at; }
   bool begun() const { return begun_.has_value(); }
-  // Both only once it has begun.
+  // Call these two only after Begin.
   Time last_new_work() const { return *begun_ + limits_.linger; }
   Time time_up() const { return *begun_ + limits_.stop_within; }
 
