--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -1,6 +1,6 @@
-// What the engine shares with its front ends (where requests come from) and back ends (what carries
-// attempts). Neither side's protocol shows here: a second front needs only to fill RequestContent and to
-// word an Answer.
+// The interfaces between the engine, its front ends (which receive requests) and its back ends (which send
+// attempts to servers). They are independent of the protocols: another front end only has to fill in
+// RequestContent and to encode an Answer.
 #ifndef BRASSWOOD_CORE_ENDS_H_
 #define BRASSWOOD_CORE_ENDS_H_
 
@@ -19,12 +19,12 @@
 using RequestId = std::uint64_t;
 using AttemptId = std::uint64_t;
 
-// What a request asks for, as its client put it. Nothing in it changes on its way to a server.
+// The content of a request as its client sent it. It is passed to a server unchanged.
 struct RequestContent {
   std::string id;
   std::string key;
-  std::string labels;  // names and values, "a=1,b=2"
-  std::string value;   // of a write
+  std::string labels;  // names and values: "a=1,b=2"
+  std::string value;   // the value to write; empty for a read
   bool write = false;
 };
 
@@ -33,7 +33,7 @@
   int request_class = -1;
   int tenant = 0;
   Duration wait{0};  // from its arrival until its client gives up
-  Time arrived{0};   // its last byte, as far as that is known; 0: now
+  Time arrived{0};   // when its last byte arrived, if known; 0: now
   std::optional<double> size_hint;
   bool repeat = false;
 };
@@ -43,57 +43,58 @@
 struct Answer {
   AnswerKind kind = AnswerKind::kFailed;
   std::string body;         // the value or receipt
-  Duration retry_after{0};  // of a refusal; 0: none stated
+  Duration retry_after{0};  // set for a refusal; 0: not stated
 };
 
-// A front end: told each request's one answer, by the ticket it gave. It must not call the engine back from
-// inside any of these: the engine is at work on its tables then.
+// A front end. It receives exactly one answer for each request, identified by the ticket that it passed to
+// the engine. It must not call the engine from inside these functions, because the engine is modifying its
+// tables at that point.
 //
-// A large value is passed on as it comes: Open with its length, then Piece after piece, then Deliver. A
-// kValue ends it (its body is empty: all of it came in pieces); any other answer after Open means the value
-// cannot be finished, and the front must let its client tell that it is not whole (close the connection
-// once what came is out), never word a second answer for it.
+// A large value is streamed: Open with its length, then Piece for each chunk, then Deliver. Deliver with
+// kValue completes it (its body is empty, because the value was sent in chunks). Any other answer after
+// Open means that the value cannot be completed: the front end must make that visible to its client, by
+// closing the connection once the chunks received so far are sent, and must not send a second answer.
 class Front {
  public:
   virtual ~Front() = default;
   virtual void Deliver(std::uint64_t ticket, const Answer& answer) = 0;
   virtual void Open(std::uint64_t ticket, std::size_t length) = 0;
   virtual void Piece(std::uint64_t ticket, std::string_view bytes) = 0;
-  // Is this ticket's client still there, as far as its connection tells?
+  // Whether this ticket's client is still connected, as far as its connection shows.
   virtual bool Present(std::uint64_t ticket) const = 0;
-  // Bytes of answers that wait to go out to this ticket's client: what a piece adds to.
+  // Bytes of answers that are buffered for this ticket's client; each chunk adds to them.
   virtual std::size_t Backlog(std::uint64_t ticket) const = 0;
 };
 
-// How an attempt went: the reply in the module's terms, and its value or receipt.
+// The result of an attempt: the reply in the decision module's terms, and its value or receipt.
 struct AttemptEnd {
   beechledge::Result result = beechledge::Result::kError;
   beechledge::Note note = beechledge::Note::kNone;
   std::optional<beechledge::LoadReport> report;
   std::string body;
-  bool streamed = false;  // of a kOk: its value went on in pieces, and the body is empty
+  bool streamed = false;  // of a kOk: the value was passed on in chunks, and the body is empty
 };
 
-// A back end: carries attempts and probes to servers and reports each one's end to the engine exactly
+// A back end: sends attempts and probes to servers and reports the result of each to the engine exactly
 // once, unless it was abandoned.
 class Back {
  public:
   virtual ~Back() = default;
-  // `until`: an answer is of use until then. `sent_by`: its last byte leaves before that moment, or it ends
-  // as never sent. Before its first byte the back end asks Engine::JudgeFirstByte, as much may have changed
-  // by then.
+  // `until`: an answer after this is useless. `sent_by`: if its last byte cannot be sent before this, the
+  // attempt ends as never sent. Before the first byte the back end asks Engine::JudgeFirstByte, because the
+  // state may have changed by then.
   virtual void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
                      Time until, Time sent_by) = 0;
   virtual void Probe(AttemptId probe, ServerId to, bool load) = 0;
-  // Closes the attempt's connection at once and tells whether all of the attempt had left. Nothing more is
-  // reported for it.
+  // Closes the attempt's connection at once and returns whether the whole attempt had been sent. Nothing
+  // more is reported for it.
   virtual bool Abandon(AttemptId attempt) = 0;
   virtual void CloseIdle(ServerId server) = 0;
-  // The server is gone and nothing refers to it: its id may come to name another one.
+  // The server was removed and nothing refers to it any more: its id may be reused for another server.
   virtual void Forget(ServerId server) = 0;
 };
 
-// Discovery, as the engine asks for it.
+// The discovery client, as the engine uses it.
 class Watch {
  public:
   virtual ~Watch() = default;
