--- a/src/discovery/server_list.h
+++ b/src/discovery/server_list.h
@@ -1,4 +1,4 @@
-// The server list as discovery tells it, whatever form it was told in.
+// The server list as received from discovery, independent of its encoding.
 #ifndef BRASSWOOD_DISCOVERY_SERVER_LIST_H_
 #define BRASSWOOD_DISCOVERY_SERVER_LIST_H_
 
@@ -13,8 +13,8 @@
 namespace brasswood {
 
 struct ServerEntry {
-  std::string uid;       // the stable name, the same at every router
-  std::string endpoint;  // where this router reaches it; may change
+  std::string uid;       // stable id, the same at every router
+  std::string endpoint;  // the address at which this router reaches it; may change
   int zone = 0, kind = 0, cell = 0;
   beechledge::Availability availability = beechledge::Availability::kUp;
   double scale = 1;
@@ -23,20 +23,20 @@
 
 struct ServerList {
   std::int64_t rev = -1;
-  bool all = true;  // the whole list; else only what changed
+  bool all = true;  // a whole list; false: only the changes
   std::vector<ServerEntry> entries;
 };
 
-using SourceId = int;  // one address of discovery; whoever calls it maps them
+using SourceId = int;  // one address of discovery; the caller maps ids to addresses
 
-// Where a list, or a part of one, comes from.
+// Where and when a list, or a part of one, was received.
 struct ListOrigin {
   SourceId source = 0;
-  std::uint64_t call = 0;             // for the log
-  std::optional<std::int64_t> since;  // the version that changes were asked from; none: the whole list
+  std::uint64_t call = 0;             // the call's id, for the log
+  std::optional<std::int64_t> since;  // changes since this version were requested; none: the whole list
   Time begun{0};                      // when the call was made
-  Time arrived{0};                    // when the list, or its part, was whole here
-  Time told{0};                       // from when its news counts as told: then, or earlier
+  Time arrived{0};                    // when the list, or the part, had been received completely
+  Time told{0};  // from when the router counts as notified of its contents: `arrived` or earlier
 };
 
 }  // namespace brasswood
