--- a/lab/explore/directory_exploration.cpp
+++ b/lab/explore/directory_exploration.cpp
@@ -20,35 +20,35 @@
 
 constexpr Duration kLength = seconds(40);
 constexpr Duration kGrace = seconds(1);
-constexpr Duration kRestartKnown = seconds(15);
-constexpr Duration kMostLag = seconds(3);
+constexpr Duration kRestartApplied = seconds(15);
+constexpr Duration kMaxLag = seconds(3);
 constexpr int kServers = 5;
 
 using Servers = std::map<std::string, ServerEntry>;
 
-// The directory under test, with one fault built in at most.
+// The directory under test, with at most one deliberate fault.
 class Subject {
  public:
   explicit Subject(DirectoryFault fault) : directory_(-1), fault_(fault) {}
 
-  void Remember(const ServerList& list, Time now) { directory_.Remember(list, now); }
+  void SetInitialList(const ServerList& list, Time now) { directory_.SetInitialList(list, now); }
   ListVerdict Merge(ServerList list, ListOrigin origin) {
     const std::int64_t held = directory_.held().value_or(0);
     if (fault_ == DirectoryFault::kVersionNotCompared) list.rev = held + 1;
     if (fault_ == DirectoryFault::kBaseForgotten) origin.since = held;
     const std::set<std::string> drained = Drained();
     const ListVerdict verdict = directory_.Merge(list, origin).verdict;
-    if (verdict == ListVerdict::kTaken) Misjudge(list, drained, origin.told);
+    if (verdict == ListVerdict::kTaken) InjectFault(list, drained, origin.told);
     return verdict;
   }
   void MergePart(const ServerList& part, const ListOrigin& origin) {
     const auto update = directory_.MergePart(part, origin);
-    for (const ServerId id : update.changed) from_parts_.insert(directory_.At(id).uid);
+    for (const ServerId id : update.changed) drained_by_parts_.insert(directory_.At(id).uid);
   }
   bool MaySend(const std::string& uid, Time now) const {
     const auto id = directory_.Find(uid);
     if (!id) return false;
-    if (brought_back_.contains(uid)) return true;
+    if (wrongly_restored_.contains(uid)) return true;
     const auto moved = moved_grace_.find(uid);
     if (moved != moved_grace_.end() && now - moved->second < kGrace) return true;
     return directory_.Serving(*id, now, kGrace);
@@ -68,35 +68,37 @@
     }
     return drained;
   }
-  void Misjudge(const ServerList& list, const std::set<std::string>& drained, Time told) {
+  void InjectFault(const ServerList& list, const std::set<std::string>& drained, Time counts_from) {
     for (const std::string& uid : drained) {
       const bool removed = directory_.At(*directory_.Find(uid)).availability == Availability::kRemoved;
-      if (fault_ == DirectoryFault::kGraceMovedByRemoval && removed) moved_grace_[uid] = told;
+      if (fault_ == DirectoryFault::kGraceMovedByRemoval && removed) moved_grace_[uid] = counts_from;
     }
     if (fault_ != DirectoryFault::kPartUndoneByWhole) return;
-    brought_back_.clear();
+    wrongly_restored_.clear();
     for (const ServerEntry& entry : list.entries) {
       const bool up = entry.availability == Availability::kUp;
-      if (list.all && up && from_parts_.contains(entry.uid)) brought_back_.insert(entry.uid);
+      if (list.all && up && drained_by_parts_.contains(entry.uid)) wrongly_restored_.insert(entry.uid);
     }
   }
 
   ServerDirectory directory_;
   const DirectoryFault fault_;
   std::map<std::string, Time> moved_grace_;
-  std::set<std::string> from_parts_, brought_back_;
+  std::set<std::string> drained_by_parts_, wrongly_restored_;
 };
 
-// The newest word of each server, from answers as they were delivered.
-class Ledger {
+// The newest state of each server, from the answers as they were delivered.
+class ExpectedStates {
  public:
-  void NoteOut(const std::string& uid, std::int64_t version, Time now) { outs_[uid].emplace(version, now); }
-  void NoteIn(const ServerEntry& entry, std::int64_t version) {
+  void RecordOut(const std::string& uid, std::int64_t version, Time now) {
+    outs_[uid].emplace(version, now);
+  }
+  void RecordIn(const ServerEntry& entry, std::int64_t version) {
     auto& in = ins_[entry.uid];
     if (version >= in.first) in = {version, entry.started};
   }
   void Clear() { outs_.clear(), ins_.clear(); }
-  // Since when the newest word has been that it is out; nothing where that is not so.
+  // Since when the server's newest state has been a drain or removal; nothing if it is not.
   std::optional<Time> OutSince(const std::string& uid) const {
     const auto outs = outs_.find(uid);
     if (outs == outs_.end()) return std::nullopt;
@@ -129,15 +131,15 @@
     }
     const int sources = 1 + static_cast<int>(rng_(3));
     for (int s = 0; s < sources; ++s)
-      lags_.push_back(Chance(rng_, 0.5) ? Duration(0) : Between(Duration(0), kMostLag));
+      lags_.push_back(Chance(rng_, 0.5) ? Duration(0) : Between(Duration(0), kMaxLag));
   }
 
-  std::string Play() {
+  std::string Run() {
     ServerList known;
     known.rev = 0;
     for (const auto& [uid, entry] : history_[Time(0)].servers) known.entries.push_back(entry);
-    subject_.Remember(known, Time(0));
-    for (const ServerEntry& entry : known.entries) ledger_.NoteIn(entry, 0);
+    subject_.SetInitialList(known, Time(0));
+    for (const ServerEntry& entry : known.entries) expected_.RecordIn(entry, 0);
     for (Time t = seconds(1); t < kLength; t += Between(milliseconds(300), milliseconds(4000))) {
       time_.At(t, [this] { Change(); });
     }
@@ -146,17 +148,17 @@
       time_.At(t, [this] { Ask(); });
     }
     for (Time t = milliseconds(500); t < kLength; t += milliseconds(250)) time_.At(t, [this] { Check(); });
-    while (broken_.empty() && time_.PlayNext(kLength)) {
+    while (violation_.empty() && time_.PlayNext(kLength)) {
     }
-    return broken_;
+    return violation_;
   }
 
  private:
-  // Discovery's state from a moment on.
+  // Discovery's state from a certain time on.
   struct State {
     std::int64_t version = 0;
     Servers servers;
-    std::map<std::string, std::int64_t> removed;  // and when, by version
+    std::map<std::string, std::int64_t> removed;  // the version that removed each one
     std::map<std::string, std::int64_t> changed;  // the version of each one's last change
   };
 
@@ -182,7 +184,7 @@
     ++state.version;
     state.changed[uid] = state.version;
     const auto it = state.servers.find(uid);
-    if (it == state.servers.end()) {  // it returns, under its name, with a new start
+    if (it == state.servers.end()) {  // it returns with the same uid and a new start time
       ServerEntry entry = history_.begin()->second.servers.at(uid);
       entry.started = time_.now();
       state.servers[uid] = entry;
@@ -198,14 +200,14 @@
     Trace("version", state.version, uid);
     history_[time_.now()] = std::move(state);
   }
-  // It goes on from an older state, and every source with it.
+  // Discovery continues from an older state, at every source.
   void RestartDiscovery() {
     const auto steps = static_cast<int>(2 + rng_(4));
     auto it = std::prev(history_.end());
     for (int n = 0; n < steps && it != history_.begin(); ++n) --it;
     State state = it->second;
     if (state.version == history_.rbegin()->second.version) return;
-    Trace("discovery begins anew at version", state.version);
+    Trace("discovery restarts at version", state.version);
     restarted_ = time_.now();
     history_[time_.now()] = std::move(state);
   }
@@ -234,10 +236,11 @@
     answer.origin.since = since;
     answer.list.rev = state.version;
     std::int64_t from = since.value_or(-1);
-    const bool unasked = !since && Chance(rng_, 0.15);  // changes where the whole list was asked for
-    if (unasked) from = std::max<std::int64_t>(0, state.version - 1 - static_cast<std::int64_t>(rng_(2)));
-    answer.has_base = !unasked;
-    answer.list.all = !unasked && (!since || *since > state.version);
+    const bool unrequested = !since && Chance(rng_, 0.15);  // changes although the whole list was requested
+    if (unrequested)
+      from = std::max<std::int64_t>(0, state.version - 1 - static_cast<std::int64_t>(rng_(2)));
+    answer.has_base = !unrequested;
+    answer.list.all = !unrequested && (!since || *since > state.version);
     for (const auto& [uid, entry] : state.servers) {
       const auto changed = state.changed.find(uid);
       const bool is_new = changed != state.changed.end() && changed->second > from;
@@ -272,7 +275,8 @@
     subject_.MergePart(answer.list, answer.origin);
     if (stale) return;
     for (const ServerEntry& entry : answer.list.entries) {
-      if (entry.availability != Availability::kUp) ledger_.NoteOut(entry.uid, answer.list.rev, time_.now());
+      if (entry.availability != Availability::kUp)
+        expected_.RecordOut(entry.uid, answer.list.rev, time_.now());
     }
   }
   void Arrive(Answer answer) {
@@ -282,69 +286,69 @@
           std::chrono::duration<double>(answer.origin.begun).count(), "source", answer.origin.source,
           kListVerdictNames[static_cast<std::size_t>(verdict)]);
     if (BegunBeforeRestart(answer)) return;
-    if (verdict == ListVerdict::kRestartTaken) ledger_.Clear();
-    Note(answer);
+    if (verdict == ListVerdict::kRestartTaken) expected_.Clear();
+    Record(answer);
   }
   bool BegunBeforeRestart(const Answer& answer) const {
     return restarted_ && answer.origin.begun < *restarted_ + milliseconds(200);
   }
-  void Note(const Answer& answer) {
+  void Record(const Answer& answer) {
     std::set<std::string> named;
     for (const ServerEntry& entry : answer.list.entries) {
       named.insert(entry.uid);
       const bool up = entry.availability == Availability::kUp;
-      if (!up) ledger_.NoteOut(entry.uid, answer.list.rev, time_.now());
-      if (up && answer.has_base) ledger_.NoteIn(entry, answer.list.rev);
+      if (!up) expected_.RecordOut(entry.uid, answer.list.rev, time_.now());
+      if (up && answer.has_base) expected_.RecordIn(entry, answer.list.rev);
     }
     for (int n = 0; answer.list.all && n < kServers; ++n) {
       const std::string uid = "s" + std::to_string(n);
-      if (!named.contains(uid)) ledger_.NoteOut(uid, answer.list.rev, time_.now());
+      if (!named.contains(uid)) expected_.RecordOut(uid, answer.list.rev, time_.now());
     }
   }
 
-  // ---- What is held ----
+  // ---- Checks ----
 
-  void Break(const std::string& what) {
-    if (broken_.empty()) broken_ = what;
+  void ReportViolation(const std::string& what) {
+    if (violation_.empty()) violation_ = what;
     Trace("BROKEN:", what);
   }
   void Check() {
     if (restarted_) return CheckRestart();
     for (int n = 0; n < kServers; ++n) {
       const std::string uid = "s" + std::to_string(n);
-      const auto out_since = ledger_.OutSince(uid);
+      const auto out_since = expected_.OutSince(uid);
       if (out_since && time_.now() - *out_since >= kGrace && subject_.MaySend(uid, time_.now())) {
-        Break("out: " + uid + " may be sent to");
+        ReportViolation("out: " + uid + " may be sent to");
       }
-      if (out_since || ledger_.InVersion(uid) < 0 || subject_.directory().in_doubt()) continue;
+      if (out_since || expected_.InVersion(uid) < 0 || subject_.directory().in_doubt()) continue;
       if (!subject_.InService(uid)) {
-        Break("in: " + uid + " is left out");
-      } else if (subject_.Started(uid) < ledger_.StartedBy(uid)) {
-        Break("start: " + uid + " has an older one");
+        ReportViolation("in: " + uid + " is left out");
+      } else if (subject_.Started(uid) < expected_.StartedBy(uid)) {
+        ReportViolation("start: " + uid + " has an older one");
       }
     }
   }
   void CheckRestart() {
-    if (time_.now() < *restarted_ + kRestartKnown) return;
+    if (time_.now() < *restarted_ + kRestartApplied) return;
     if (subject_.directory().held().value_or(-1) > StateAt(time_.now()).version)
-      Break("restart: the old versions are still held");
+      ReportViolation("restart: the old versions are still held");
   }
 
   Rng rng_;
   std::ostream* trace_;
   Subject subject_;
-  Ledger ledger_;
+  ExpectedStates expected_;
   VirtualTime time_;
   std::map<Time, State> history_{{Time(0), {}}};
   std::vector<Duration> lags_;  // by source
   std::optional<Time> restarted_;
-  std::string broken_;
+  std::string violation_;
 };
 
 }  // namespace
 
 std::string ExploreDirectorySeed(std::uint64_t seed, DirectoryFault fault, std::ostream* trace) {
-  return DirectoryRun(seed, fault, trace).Play();
+  return DirectoryRun(seed, fault, trace).Run();
 }
 
 int ExploreDirectory(std::uint64_t first, std::uint64_t last, DirectoryFault fault, std::ostream& out) {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -28,14 +28,14 @@
   return "failed";
 }
 
-// Servers by other numbers; what none stands for goes.
-void Renumber(beechledge::Kept& kept, const std::unordered_map<ServerId, ServerId>& to) {
-  std::erase_if(kept.servers, [&](beechledge::Kept::Server& s) {
+// Replaces server ids by those in `to`, and removes servers and holders that are not in it.
+void RemapServers(beechledge::Kept& learnt, const std::unordered_map<ServerId, ServerId>& to) {
+  std::erase_if(learnt.servers, [&](beechledge::Kept::Server& s) {
     const auto it = to.find(s.id);
     if (it != to.end()) s.id = it->second;
     return it == to.end();
   });
-  std::erase_if(kept.keys, [&](beechledge::Kept::Key& key) {
+  std::erase_if(learnt.keys, [&](beechledge::Kept::Key& key) {
     std::vector<ServerId> holders;
     for (const ServerId id : key.holders) {
       if (const auto it = to.find(id); it != to.end()) holders.push_back(it->second);
@@ -77,13 +77,13 @@
 }
 
 void Engine::Attach(Back& cache_servers, Back& origin, Watch& watch) {
-  nodes_ = &cache_servers;
+  cache_servers_ = &cache_servers;
   origin_ = &origin;
   watch_ = &watch;
 }
 
-// ---- Events go through a queue: what an action sets off is handed to the module after that action's own
-// event, never from inside it. ----
+// ---- Events are queued: an event caused by an action reaches the module after the event that led to that
+// action, and never re-enters the module. ----
 
 void Engine::Queue(beechledge::Event event) { queue_.push_back({now_(), std::move(event)}); }
 
@@ -102,7 +102,7 @@
     actions.clear();
     balancer_.Handle(next.at, next.event, actions);
     for (const beechledge::Action& action : actions) {
-      std::visit([this](const auto& a) { Do(a); }, action);
+      std::visit([this](const auto& a) { Execute(a); }, action);
     }
   }
   pumping_ = false;
@@ -113,7 +113,7 @@
 RequestId Engine::Take(Front& front, std::uint64_t ticket, NewRequest request) {
   if (requests_.size() >= limits_.requests) {
     ++counters_.turned_away;
-    CountClass(request.request_class, AnswerKind::kRefused);  // its front refuses it
+    CountClass(request.request_class, AnswerKind::kRefused);  // the front end refuses it
     return 0;
   }
   const Duration wait = std::clamp(request.wait, Duration(0), limits_.longest_wait);
@@ -124,12 +124,12 @@
   event.size_hint = request.size_hint;
   event.repeat = request.repeat;
   event.write = request.content->write;
-  // One reading of the clock for both: were the module's deadline only a little later than the engine's, a
-  // attempt that times out with its request would look to it like one worth another attempt.
+  // The clock is read once for both deadlines: if the module's deadline were slightly later than the
+  // engine's, the module would see an attempt that timed out with its request as worth another attempt.
   const Time now = now_();
   const Time arrived = request.arrived == Time(0) ? now : std::min(request.arrived, now);
   event.ttl = std::max(Duration(0), arrived + wait - now);
-  by_id_.insert(request.content->id);
+  request_ids_.insert(request.content->id);
   const RequestId id = requests_.Add({&front,
                                       ticket,
                                       request.request_class,
@@ -148,15 +148,15 @@
   return id;
 }
 
-// The one place at which a request stops being open.
-void Engine::End(Request& request) {
+// The only place where a request stops being open.
+void Engine::MarkEnded(Request& request) {
   request.ended = true;
   --open_requests_;
 }
 
 void Engine::AnswerRequest(Request& request, const Answer& answer) {
   if (request.ended) return;
-  End(request);
+  MarkEnded(request);
   const Duration late = now_() - request.deadline;
   counters_.invariants.Expect(request.streaming != 0 || late <= Invariants::kMostLate,
                               Invariant::kAnsweredInTime, request.content->id);
@@ -181,19 +181,19 @@
   request.front->Deliver(request.ticket, answer);
 }
 
-// Nobody waits for its answer any more: what is out for it would only keep servers busy.
+// Nobody waits for the answer any more: attempts in flight would only keep servers busy.
 void Engine::ClientGone(RequestId id) {
   Request* request = requests_.Find(id);
   if (request == nullptr || request->ended) return;
-  End(*request);
+  MarkEnded(*request);
   ++counters_.gone;
   LogLine(Level::kDebug) << "request " << request->content->id
                          << " client gone, attempts=" << request->attempts
-                         << " out=" << request->out.size();
-  const std::vector<AttemptId> out = request->out;
+                         << " out=" << request->in_flight.size();
+  const std::vector<AttemptId> in_flight = request->in_flight;
   Queue(beechledge::ClientGone{id});
-  for (const AttemptId attempt : out) GiveUp(attempt, Result::kCancelled);
-  Release(id);
+  for (const AttemptId attempt : in_flight) AbortAttempt(attempt, Result::kCancelled);
+  RemoveIfDone(id);
   Pump();
 }
 
@@ -204,31 +204,31 @@
   });
   for (const RequestId id : open) {
     Request& request = *requests_.Find(id);
-    const std::vector<AttemptId> out = request.out;
+    const std::vector<AttemptId> in_flight = request.in_flight;
     AnswerRequest(request, {AnswerKind::kFailed, {}, {}});
-    Queue(beechledge::ClientGone{id});  // the module has nothing more to decide for it
-    for (const AttemptId attempt : out) GiveUp(attempt, Result::kCancelled);
-    Release(id);
+    Queue(beechledge::ClientGone{id});  // the module must not decide anything more for it
+    for (const AttemptId attempt : in_flight) AbortAttempt(attempt, Result::kCancelled);
+    RemoveIfDone(id);
   }
   Pump();
   return open.size();
 }
 
-// Forgets a request once it is answered and none of its attempts is out.
-void Engine::Release(RequestId id) {
+// Removes a request once it has ended and none of its attempts is in flight.
+void Engine::RemoveIfDone(RequestId id) {
   const Request* request = requests_.Find(id);
-  if (request == nullptr || !request->ended || !request->out.empty()) return;
-  by_id_.erase(request->content->id);
+  if (request == nullptr || !request->ended || !request->in_flight.empty()) return;
+  request_ids_.erase(request->content->id);
   requests_.Remove(id);
 }
 
 // ---- Attempts ----
 
-void Engine::Do(const beechledge::Send& a) {
+void Engine::Execute(const beechledge::Send& a) {
   Request* request = requests_.Find(a.id);
   const Time now = now_();
   const int attempt = request == nullptr ? 0 : request->attempts++;
-  const SendVerdict verdict = JudgeSending(request, a.server, attempt);
+  const SendVerdict verdict = EvaluateAttempt(request, a.server, attempt);
   if (verdict != SendVerdict::kAllowed) {
     return HoldBack(a, attempt, request == nullptr || request->ended, verdict);
   }
@@ -236,38 +236,38 @@
   if (a.timeout > Duration(0)) until = std::min(until, now + a.timeout);
   const Time sent_by = std::min(until, request->repeat_by);
   const AttemptId id = attempts_.Add({a.id, a.server, attempt, now, sent_by, {}});
-  request->out.push_back(id);
-  request->asked.push_back(a.server);
+  request->in_flight.push_back(id);
+  request->tried_servers.push_back(a.server);
   attempts_.Find(id)->deadline = deadlines_.Set(until, [this, id] {
-    GiveUp(id, Result::kTimeout);
+    AbortAttempt(id, Result::kTimeout);
     Pump();
   });
   ++counters_.attempts_sent;
-  BackOf(a.server).Start(id, a.server, request->content, until, sent_by);
+  BackEndOf(a.server).Start(id, a.server, request->content, until, sent_by);
 }
 
-bool Engine::RunsOnceOnly(const Request& request) const {
+bool Engine::IsUnsafe(const Request& request) const {
   const auto of = static_cast<std::size_t>(request.request_class);
   return of < settings_.classes.size() && settings_.classes[of].effect == beechledge::Effect::kUnsafe;
 }
 
-// Half of a drain's grace stays in hand: the rule counts from an attempt's first byte, and the process may
-// be held up on the way there.
-SendVerdict Engine::JudgeSending(const Request* request, ServerId server, int attempt) const {
+// Only half of a drain's grace period is used: the rule counts from an attempt's first byte, and the
+// process may be delayed before it sends that byte.
+SendVerdict Engine::EvaluateAttempt(const Request* request, ServerId server, int attempt) const {
   SendFacts facts;
   facts.request_open = request != nullptr && !request->ended;
   facts.server_known = server < directory_.size();
-  if (!facts.request_open || !facts.server_known) return JudgeSend(facts);
+  if (!facts.request_open || !facts.server_known) return EvaluateSend(facts);
   facts.now = now_();
   facts.send_by = std::min(request->deadline, request->repeat_by);
   facts.attempts_left = attempt < limits_.max_attempts;
-  facts.alone = request->out.empty() || settings_.allowed.parallel_tries;
-  facts.harmless = !request->may_have_run || !RunsOnceOnly(*request);
+  facts.no_conflict = request->in_flight.empty() || settings_.allowed.parallel_tries;
+  facts.repeat_safe = !request->may_have_run || !IsUnsafe(*request);
   facts.server_serving = directory_.Serving(server, facts.now, settings_.rules.drain_grace / 2);
-  return JudgeSend(facts);
+  return EvaluateSend(facts);
 }
 
-// What must not go out has its outcome all the same: it never ran.
+// Records the outcome of an attempt that must not be sent: it never ran.
 void Engine::HoldBack(const beechledge::Send& a, int attempt, bool complete, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
   ++counters_.attempts_ended[static_cast<std::size_t>(Result::kMoot)];
@@ -280,25 +280,25 @@
   Queue(moot);
 }
 
-// Ends an attempt from this side. Its connection closes here, before the module hears of it and can send
-// the request anywhere else.
-void Engine::GiveUp(AttemptId id, Result why) {
+// Aborts an attempt. Its connection is closed here, before the module is notified and can send the request
+// to another server.
+void Engine::AbortAttempt(AttemptId id, Result why) {
   const Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr) return;
-  const bool left_whole = BackOf(attempt->server).Abandon(id);
+  const bool sent_completely = BackEndOf(attempt->server).Abandon(id);
   AttemptEnd end;
-  // What never left in whole cannot have run, and for a write that is the difference between a repeat and
-  // a failure.
-  end.result = why == Result::kTimeout && !left_whole ? Result::kConnectFailed : why;
-  Conclude(id, std::move(end));
+  // An attempt that was not sent completely cannot have run. For a write that decides between a retry and a
+  // failure.
+  end.result = why == Result::kTimeout && !sent_completely ? Result::kConnectFailed : why;
+  FinishAttempt(id, std::move(end));
 }
 
 void Engine::AttemptEnded(AttemptId id, AttemptEnd end) {
-  Conclude(id, std::move(end));
+  FinishAttempt(id, std::move(end));
   Pump();
 }
 
-void Engine::Conclude(AttemptId id, AttemptEnd end) {
+void Engine::FinishAttempt(AttemptId id, AttemptEnd end) {
   Attempt* found = attempts_.Find(id);
   if (found == nullptr) return;
   Attempt attempt = *found;
@@ -316,7 +316,7 @@
                          << directory_.At(attempt.server).uid << ' '
                          << NameOf(static_cast<std::size_t>(end.result)) << " after "
                          << latency.count() / 1000 << " us";
-  std::erase(request->out, id);
+  std::erase(request->in_flight, id);
   const auto of = static_cast<std::size_t>(request->request_class);
   request->may_have_run = request->may_have_run || !beechledge::NeverRan(end.result);
   if (!beechledge::NeverRan(end.result) && of < settings_.classes.size() &&
@@ -329,7 +329,8 @@
         *request,
         {request->content->write ? AnswerKind::kReceipt : AnswerKind::kValue, std::move(end.body), {}});
   } else if (request->streaming == id) {
-    // Begun and not finished: the module leaves such a request alone, and its client is to see a value cut.
+    // The value was started but not completed: the module does not retry such a request, and its client has
+    // to see that the value is cut.
     AnswerRequest(*request, {AnswerKind::kFailed, {}, {}});
   }
   beechledge::Outcome outcome;
@@ -342,7 +343,7 @@
   outcome.note = end.note;
   outcome.report = end.report;
   Queue(std::move(outcome));
-  Release(attempt.request);
+  RemoveIfDone(attempt.request);
 }
 
 bool Engine::AttemptOpened(AttemptId id, std::size_t length) {
@@ -351,18 +352,19 @@
   Request* request = requests_.Find(attempt->request);
   if (request == nullptr || request->ended || request->streaming != 0) return false;
   request->streaming = id;
-  Stall(*attempt, id);
+  RestartStallTimer(*attempt, id);
   request->front->Open(request->ticket, length);
   Push(beechledge::FirstByte{attempt->request, attempt->server, attempt->number, now_() - attempt->sent});
   return true;
 }
 
-// Guards against cutting what a slow server still gives: the request's time is for its first bytes, and
-// once a value has begun there is no other way to serve it. Only a server that falls silent is given up.
-void Engine::Stall(Attempt& attempt, AttemptId id) {
+// Guards against cutting off a slow server that is still sending: the request's deadline applies to the
+// first bytes, and once a value has started there is no other way to serve it. Only an attempt whose server
+// becomes unresponsive is aborted.
+void Engine::RestartStallTimer(Attempt& attempt, AttemptId id) {
   deadlines_.Drop(attempt.deadline);
   attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall, [this, id] {
-    GiveUp(id, Result::kTimeout);
+    AbortAttempt(id, Result::kTimeout);
     Pump();
   });
 }
@@ -372,7 +374,7 @@
   if (attempt == nullptr) return;
   const Request* request = requests_.Find(attempt->request);
   if (request == nullptr || request->ended || request->streaming != id) return;
-  Stall(*attempt, id);
+  RestartStallTimer(*attempt, id);
   if (!bytes.empty()) request->front->Piece(request->ticket, bytes);
 }
 
@@ -384,41 +386,41 @@
 
 // ---- The module's other actions ----
 
-void Engine::Do(const beechledge::Refuse& a) {
+void Engine::Execute(const beechledge::Refuse& a) {
   if (Request* request = requests_.Find(a.id))
     AnswerRequest(*request, {AnswerKind::kRefused, {}, a.retry_after});
-  Release(a.id);
+  RemoveIfDone(a.id);
 }
-void Engine::Do(const beechledge::Fail& a) {
+void Engine::Execute(const beechledge::Fail& a) {
   if (Request* request = requests_.Find(a.id)) AnswerRequest(*request, {AnswerKind::kFailed, {}, {}});
-  Release(a.id);
+  RemoveIfDone(a.id);
 }
-void Engine::Do(const beechledge::Cancel& a) {
+void Engine::Execute(const beechledge::Cancel& a) {
   const Request* request = requests_.Find(a.id);
   if (request == nullptr) return;
-  for (const AttemptId id : request->out) {
-    if (attempts_.Find(id)->number == a.attempt) return GiveUp(id, Result::kCancelled);
+  for (const AttemptId id : request->in_flight) {
+    if (attempts_.Find(id)->number == a.attempt) return AbortAttempt(id, Result::kCancelled);
   }
 }
-void Engine::Do(const beechledge::SetTimer& a) {
+void Engine::Execute(const beechledge::SetTimer& a) {
   deadlines_.Set(a.at, [this, token = a.token] { Push(beechledge::TimerFired{token}); });
 }
-void Engine::Do(const beechledge::Subscribe& a) { watch_->Follow(a.on); }
-void Engine::Do(const beechledge::FetchList&) { watch_->FetchAll(); }
-void Engine::Do(const beechledge::Probe& a) {
+void Engine::Execute(const beechledge::Subscribe& a) { watch_->Follow(a.on); }
+void Engine::Execute(const beechledge::FetchList&) { watch_->FetchAll(); }
+void Engine::Execute(const beechledge::Probe& a) {
   if (!settings_.allowed.probes || a.server >= directory_.size()) return;
   const AttemptId id = attempts_.Add({0, a.server, 0, now_(), {}, {}});
   attempts_.Find(id)->deadline = deadlines_.Set(now_() + limits_.probe, [this, id] {
-    GiveUp(id, Result::kTimeout);
+    AbortAttempt(id, Result::kTimeout);
     Pump();
   });
   ++counters_.probes;
-  BackOf(a.server).Probe(id, a.server, settings_.reports == beechledge::ReportSource::kProbe);
+  BackEndOf(a.server).Probe(id, a.server, settings_.reports == beechledge::ReportSource::kProbe);
 }
-void Engine::Do(const beechledge::CloseIdle& a) {
-  if (a.server < directory_.size()) BackOf(a.server).CloseIdle(a.server);
+void Engine::Execute(const beechledge::CloseIdle& a) {
+  if (a.server < directory_.size()) BackEndOf(a.server).CloseIdle(a.server);
 }
-void Engine::Do(const beechledge::Log& a) { LogLine(Level::kInfo) << "module: " << a.text; }
+void Engine::Execute(const beechledge::Log& a) { LogLine(Level::kInfo) << "module: " << a.text; }
 
 // ---- Servers ----
 
@@ -431,16 +433,17 @@
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
   SendFacts facts;
   facts.request_open = request != nullptr && !request->ended;
-  if (!facts.request_open) return JudgeSend(facts);
+  if (!facts.request_open) return EvaluateSend(facts);
   facts.client_present = request->front->Present(request->ticket);
   facts.now = now_();
   facts.send_by = attempt->sent_by;
   facts.server_serving = directory_.Serving(attempt->server, facts.now, settings_.rules.drain_grace / 2);
   facts.same_endpoint = directory_.At(attempt->server).endpoint == endpoint;
-  return JudgeSend(facts);
+  return EvaluateSend(facts);
 }
 
-// Guards against the request of a client that has gone being tried elsewhere at once, and held back again.
+// Guards against a loop where the request of a client that has gone is retried on another server at once
+// and held back again.
 void Engine::HeldBack(AttemptId id, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
   const Attempt* attempt = attempts_.Find(id);
@@ -455,8 +458,8 @@
   AttemptEnded(id, std::move(end));
 }
 
-// The rules on sending, looked at after the fact: the bytes went out a turn of the loop after the guard had
-// let them, and the process may have been held up in between.
+// Checks the rules on sending after the fact: the bytes were sent one event loop iteration after the guard
+// allowed them, and the process may have been delayed in between.
 void Engine::AttemptLeft(AttemptId id) {
   ++counters_.upstream_tries;
   const Attempt* attempt = attempts_.Find(id);
@@ -467,55 +470,56 @@
   const Time now = now_();
   const Server& server = directory_.At(attempt->server);
   const Duration grace = settings_.rules.drain_grace;
-  const bool serving =
-      directory_.Serving(attempt->server, now, grace) && ledger_.MaySend(server.uid, now, grace);
-  const bool others_end = request->out.size() == 1 || settings_.allowed.parallel_tries;
+  const bool serving = directory_.Serving(attempt->server, now, grace) &&
+                       availability_record_.MaySend(server.uid, now, grace);
+  const bool others_end = request->in_flight.size() == 1 || settings_.allowed.parallel_tries;
   invariants.Expect(!request->ended, Invariant::kSentForOpen, who);
   invariants.Expect(now < attempt->sent_by + Invariants::kMostHeldUp, Invariant::kSentInTime, who);
   invariants.Expect(serving, Invariant::kSentToServing, who);
   invariants.Expect(others_end, Invariant::kSentAlone, who);
-  invariants.Expect(!request->may_have_run || !RunsOnceOnly(*request), Invariant::kSentHarmlessly, who);
+  invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kSentHarmlessly, who);
 }
 
 void Engine::Remember(const ServerList& known, bool old) {
-  Apply(directory_.Remember(known, now_()), ListKind::kRemembered, old);
+  Apply(directory_.SetInitialList(known, now_()), ListKind::kRemembered, old);
   ready_ = true;
-  LogLine(Level::kInfo) << "list of version " << known.rev << " held from before, " << known.entries.size()
-                        << " servers";
-  if (Logs(Level::kDebug)) LogBeliefs();
+  LogLine(Level::kInfo) << "list of version " << known.rev << " loaded at the start, "
+                        << known.entries.size() << " servers";
+  if (Logs(Level::kDebug)) LogAvoidedServers();
 }
 
-// What the module avoids by its own choice, twice a second: for whoever compares it with what is true.
-void Engine::LogBeliefs() {
+// Logs the servers that the module avoids, twice a second, so that a test can compare them with the servers
+// that are really faulty.
+void Engine::LogAvoidedServers() {
   LogLine line(Level::kDebug);
   line << "avoids:";
   for (ServerId id = 0; id < directory_.size(); ++id) {
     if (balancer_.Avoids(id)) line << ' ' << directory_.At(id).uid;
   }
-  deadlines_.Set(now_() + std::chrono::milliseconds(500), [this] { LogBeliefs(); });
+  deadlines_.Set(now_() + std::chrono::milliseconds(500), [this] { LogAvoidedServers(); });
 }
 
 void Engine::Told(const ServerList& list, const ListOrigin& origin) {
   ++counters_.lists;
   const DirectoryUpdate update = directory_.Merge(list, origin);
   LogVerdict(update, list, origin);
-  if (update.verdict == ListVerdict::kRestartTaken) ledger_.Restart();
+  if (update.verdict == ListVerdict::kRestartTaken) availability_record_.Reset();
   const bool whole = update.verdict == ListVerdict::kTaken || update.verdict == ListVerdict::kRestartTaken;
   if (whole) {
-    ledger_.Note(list, origin.arrived);
+    availability_record_.RecordList(list, origin.arrived);
   } else if (update.verdict == ListVerdict::kNoBase) {
-    ledger_.NotePart(list, origin.arrived);
+    availability_record_.RecordPart(list, origin.arrived);
   }
   if (!whole && update.named.empty()) return;
   Apply(update, whole && list.all ? ListKind::kAll : ListKind::kChanges);
   if (!whole) return;
   confirmed_ = true;
-  TakeUp();
+  ApplySnapshot();
 }
 
-// An answer that is not whole may have been on its way for long: its drains have no grace left.
+// An incomplete answer may have been in transit for a long time: its drains have no grace period left.
 void Engine::ToldInPart(const ServerList& part, const ListOrigin& origin) {
-  ledger_.NotePart(part, origin.arrived);
+  availability_record_.RecordPart(part, origin.arrived);
   ListOrigin late = origin;
   late.told = std::min(origin.told, now_() - settings_.rules.drain_grace / 2);
   const DirectoryUpdate update = directory_.MergePart(part, late);
@@ -559,79 +563,80 @@
 }
 
 void Engine::Apply(const DirectoryUpdate& update, ListKind kind, bool old) {
-  // Kept connections lead to where it was, or to the process that it was.
-  for (const ServerId id : update.moved) BackOf(id).CloseIdle(id);
+  // Idle connections lead to the server's old address or to its previous process.
+  for (const ServerId id : update.moved) BackEndOf(id).CloseIdle(id);
   for (const ServerId id : update.changed) LogChange(id);
-  beechledge::ServerList told;
-  told.kind = kind;
-  told.old = old;
+  beechledge::ServerList list;
+  list.kind = kind;
+  list.old = old;
   if (kind == ListKind::kChanges) {
-    for (const ServerId id : update.named) told.entries.push_back(EntryFor(id));
+    for (const ServerId id : update.named) list.entries.push_back(EntryFor(id));
   }
   for (ServerId id = 0; id < directory_.size(); ++id) {
     const bool removed = directory_.At(id).availability == Availability::kRemoved;
-    if (removed) BackOf(id).CloseIdle(id);
-    if (!removed && kind != ListKind::kChanges) told.entries.push_back(EntryFor(id));
+    if (removed) BackEndOf(id).CloseIdle(id);
+    if (!removed && kind != ListKind::kChanges) list.entries.push_back(EntryFor(id));
   }
-  Push(std::move(told));
-  Retire();
+  Push(std::move(list));
+  ForgetRemovedServers();
 }
 
-// ---- Over a restart ----
+// ---- State preserved over a restart ----
 
-Snapshot Engine::Keep(std::size_t most_keys) const {
+Snapshot Engine::Keep(std::size_t max_keys) const {
   Snapshot s;
   s.list.rev = directory_.held().value_or(-1);
   s.suspended = directory_.suspended();
-  std::unordered_map<ServerId, ServerId> places;
+  std::unordered_map<ServerId, ServerId> indexes;
   for (ServerId id = 0; id < directory_.size(); ++id) {
     const Server& server = directory_.At(id);
     if (server.uid.empty() || server.availability == Availability::kRemoved) continue;
-    places[id] = static_cast<ServerId>(s.list.entries.size());
-    s.list.entries.push_back(directory_.Told(id));
+    indexes[id] = static_cast<ServerId>(s.list.entries.size());
+    s.list.entries.push_back(directory_.Reported(id));
   }
-  s.learnt = balancer_.Keep(now_(), most_keys);
-  Renumber(s.learnt, places);
+  s.learnt = balancer_.Keep(now_(), max_keys);
+  RemapServers(s.learnt, indexes);
   return s;
 }
 
-void Engine::Recall(Snapshot kept, double faith) {
-  kept_ = std::move(kept);
-  faith_ = faith;
-  // Hints bind to the list at hand. Guards against seconds without them, until a large fleet's first calls
-  // are through: in those, keys that had moved go back to where they were, and drive others out.
-  if (directory_.size() > 0) TakeUp();
+void Engine::Recall(Snapshot snapshot, double confidence) {
+  pending_snapshot_ = std::move(snapshot);
+  snapshot_confidence_ = confidence;
+  // The snapshot is applied to the list that is already loaded. In a large fleet the first call to
+  // discovery may take seconds. Guards against running without the snapshot until then: keys that had moved
+  // would go back to their earlier servers and evict other keys there.
+  if (directory_.size() > 0) ApplySnapshot();
 }
 
-void Engine::TakeUp() {
-  if (!kept_) return;
-  std::unordered_map<ServerId, ServerId> ids;  // by place
-  const auto& entries = kept_->list.entries;
-  for (ServerId place = 0; place < entries.size(); ++place) {
-    const auto id = directory_.Find(entries[place].uid);
+void Engine::ApplySnapshot() {
+  if (!pending_snapshot_) return;
+  std::unordered_map<ServerId, ServerId> ids;  // by index in the snapshot's list
+  const auto& entries = pending_snapshot_->list.entries;
+  for (ServerId index = 0; index < entries.size(); ++index) {
+    const auto id = directory_.Find(entries[index].uid);
     if (!id || directory_.At(*id).availability != Availability::kUp) continue;
-    // Another start has other contents, and another size perhaps.
-    if (directory_.Told(*id).started != entries[place].started) continue;
-    ids[place] = *id;
+    // A restarted server has other contents, and perhaps another size.
+    if (directory_.Reported(*id).started != entries[index].started) continue;
+    ids[index] = *id;
   }
-  Renumber(kept_->learnt, ids);
-  balancer_.Recall(now_(), kept_->learnt, faith_);
+  RemapServers(pending_snapshot_->learnt, ids);
+  balancer_.Recall(now_(), pending_snapshot_->learnt, snapshot_confidence_);
   LogLine(Level::kInfo) << "kept state taken up for " << ids.size() << " of " << entries.size()
                         << " servers";
-  kept_.reset();
+  pending_snapshot_.reset();
 }
 
-// ---- What operators say ----
+// ---- Operators ----
 
 bool Engine::Suspend(const std::string& uid, bool any) {
   if (!directory_.Find(uid) && !any) return false;
   if (!directory_.Suspend(uid)) return true;
-  if (const auto back = returning_.find(uid); back != returning_.end()) {
+  if (const auto back = resume_timers_.find(uid); back != resume_timers_.end()) {
     deadlines_.Drop(back->second);
-    returning_.erase(back);
+    resume_timers_.erase(back);
   }
   LogLine(Level::kInfo) << "server " << uid << " suspended by hand";
-  Reconsider(uid);
+  ApplyOperatorState(uid);
   return true;
 }
 
@@ -639,20 +644,20 @@
   if (!directory_.Find(uid) && !any && !suspended().contains(uid)) return false;
   if (!directory_.Resume(uid)) return true;
   LogLine(Level::kInfo) << "server " << uid << " resumed by hand; it counts as started now";
-  // Guards against work that reaches the server before the yes reaches whoever called: until then it is
-  // out.
-  returning_[uid] = deadlines_.Set(now_() + limits_.put_back, [this, uid] { PutBack(uid); });
+  // Guards against requests that reach the server before the operator receives the confirmation: until then
+  // the server stays out of service.
+  resume_timers_[uid] = deadlines_.Set(now_() + limits_.put_back, [this, uid] { ReturnToService(uid); });
   return true;
 }
 
-void Engine::PutBack(const std::string& uid) {
-  returning_.erase(uid);
-  directory_.PutBack(uid, now_());
-  Reconsider(uid);
+void Engine::ReturnToService(const std::string& uid) {
+  resume_timers_.erase(uid);
+  directory_.ReturnToService(uid, now_());
+  ApplyOperatorState(uid);
 }
 
-void Engine::Reconsider(const std::string& uid) {
-  const DirectoryUpdate update = directory_.Reconsider(uid, now_());
+void Engine::ApplyOperatorState(const std::string& uid) {
+  const DirectoryUpdate update = directory_.ApplyOperatorState(uid, now_());
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
 
@@ -668,20 +673,20 @@
   return c;
 }
 
-// Guards against tables that only grow: where servers are replaced all day, the gone ones would stay in
-// memory and in every loop over servers. One is forgotten, and its number free for another, once it has
-// been gone for a while and neither an open request nor an attempt or probe refers to it.
-void Engine::Retire() {
+// Guards against tables that only grow: if servers are replaced all day, the removed ones would stay in
+// memory and in every loop over servers. A server is forgotten, and its id becomes free, once it was
+// removed Limits::forget ago and no request, attempt or probe in the tables refers to it.
+void Engine::ForgetRemovedServers() {
   const Time before = now_() - limits_.forget;
   if (!directory_.AnyRemovedBefore(before)) return;
   std::vector<bool> referred(directory_.size());
   requests_.Each([&](RequestId, const Request& request) {
-    for (const ServerId id : request.asked) referred[id] = true;
+    for (const ServerId id : request.tried_servers) referred[id] = true;
   });
   attempts_.Each([&](AttemptId, const Attempt& attempt) { referred[attempt.server] = true; });
   for (ServerId id = 0; id < directory_.size(); ++id) {
     if (referred[id] || !directory_.RemovedBefore(id, before)) continue;
-    BackOf(id).Forget(id);
+    BackEndOf(id).Forget(id);
     directory_.Forget(id);
   }
 }
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,6 +1,6 @@
-// The engine: feeds the decision module with events and carries out its actions. It keeps the tables of
-// requests and attempts and sees to what the module counts on: each Send gets exactly one Outcome, each
-// request one answer, and an attempt that is given up is closed before anything else goes out for its
+// The engine passes events to the decision module and executes the module's actions. It owns the tables of
+// requests and attempts and guarantees what the module relies on: each Send gets exactly one Outcome, each
+// request gets exactly one answer, and an aborted attempt is closed before anything else is sent for its
 // request.
 #ifndef BRASSWOOD_CORE_ENGINE_H_
 #define BRASSWOOD_CORE_ENGINE_H_
@@ -34,73 +34,75 @@
   Engine(const beechledge::Settings& settings, std::uint64_t seed, const Limits& limits,
          std::function<Time()> now, Deadlines& deadlines, Counters& counters);
 
-  // The ends must outlive the engine's last event.
+  // The front ends, back ends and discovery client must outlive the engine's last event.
   void Attach(Back& cache_servers, Back& origin, Watch& watch);
 
-  // From the front. Take returns 0 where no more requests can be held; the request's answer may come before
-  // it returns.
+  // Called by front ends. Take returns 0 if the table of requests is full. The request's answer may be
+  // delivered before Take returns.
   RequestId Take(Front& front, std::uint64_t ticket, NewRequest request);
   void ClientGone(RequestId request);
-  // Fails all that is open, each attempt given up first: the process is about to end. Returns how many.
+  // Fails all open requests and aborts their attempts, because the process is about to exit. Returns the
+  // number of requests failed.
   std::size_t FailAll();
-  // Is there a request of this id whose answer is owed or whose attempt is out?
-  bool Holds(const std::string& id) const { return by_id_.contains(id); }
+  // Whether there is a request with this id whose answer is pending or that has an attempt in flight.
+  bool Holds(const std::string& id) const { return request_ids_.contains(id); }
 
-  // From the back ends. An id that has ended is passed over.
+  // Called by back ends. An id that has already ended is ignored.
   void AttemptEnded(AttemptId attempt, AttemptEnd end);
-  // An attempt's answer is a large value that goes on in pieces: its request is bound to this attempt from
-  // now on, and the module is told of the first byte. False: nobody waits for it (the request has ended or
-  // another of its attempts is passing one on), and the back end gives the attempt up.
+  // The attempt's answer is a large value that is streamed in chunks. From now on the request is bound to
+  // this attempt, and the module is notified of the first byte. Returns false if the value is not needed
+  // (the request has ended, or another of its attempts is streaming a value): the back end then aborts the
+  // attempt.
   bool AttemptOpened(AttemptId attempt, std::size_t length);
-  // A piece of it; empty: none, but its client is still taking the last ones (its server is not
-  // silent).
+  // A chunk of the value. An empty chunk means that the client is still reading earlier chunks, so that the
+  // pause does not count as the server being unresponsive.
   void AttemptPiece(AttemptId attempt, std::string_view bytes);
-  // Bytes waiting for the client of this attempt's request; 0 where there is none.
+  // Bytes buffered for the client of this attempt's request; 0 if there is no such request.
   std::size_t Backlog(AttemptId attempt) const;
   const Server* FindServer(ServerId id) const;
-  // May the first byte of this attempt leave now, on a connection that leads to `endpoint`? It was decided
-  // when the attempt was made, and a connection had to come up since. The back end ends one that may not as
-  // never sent, with HeldBack.
+  // Whether the first byte of this attempt may be sent now on a connection to `endpoint`. The attempt was
+  // approved when it was created, but a connection had to be established since. If it may not be sent, the
+  // back end ends it as never sent, by calling HeldBack.
   SendVerdict JudgeFirstByte(AttemptId id, const std::string& endpoint) const;
   void HeldBack(AttemptId id, SendVerdict why);
-  // The attempt's last byte has left.
+  // The attempt's last byte was sent.
   void AttemptLeft(AttemptId id);
 
-  // From discovery, whose news the directory orders (discovery/server_directory.h).
-  // `old`: it was held so long ago that servers in it may have been replaced.
+  // Called by the discovery client. The directory orders the updates (discovery/server_directory.h).
+  // `old`: the list was saved so long ago that servers in it may have been replaced.
   void Remember(const ServerList& known, bool old = false);
   void Told(const ServerList& list, const ListOrigin& origin);
-  // Entries of an answer that is not whole, or not yet.
+  // Entries of an answer that is incomplete, or not complete yet.
   void ToldInPart(const ServerList& part, const ListOrigin& origin);
-  // A call to discovery came to nothing. Counted only: discovery/list_refresher.h sees to the next one.
+  // A call to discovery failed. It is only counted: discovery/list_refresher.h schedules the next call.
   void ListRefused();
   const ServerDirectory& directory() const { return directory_; }
 
-  // From operators. A suspended server is told to the module as draining, whatever discovery says, until
-  // it is resumed; `Limits::put_back` later it is used again and counts as started at that moment, since
-  // operators restart it meanwhile. A flag, not a count: one resume undoes any number of suspends. False:
-  // no server of that uid is known, unless `any` (state kept from before this process) lets a uid that is
-  // not listed yet be taken too.
+  // Called for operators. A suspended server is reported to the module as draining, whatever discovery
+  // says, until it is resumed. It is used again `Limits::put_back` after the resume, and counts as started
+  // at that moment because operators restart it in the meantime. Suspension is a flag, not a count: one
+  // resume undoes any number of suspends. Returns false if no server with that uid is known. With `any`
+  // (used for state persisted by an earlier process) a uid that is not listed yet is accepted too.
   bool Suspend(const std::string& uid, bool any = false);
   bool Resume(const std::string& uid, bool any = false);
   const std::set<std::string>& suspended() const { return directory_.suspended(); }
 
-  // Cache servers in the list (in service or terminating), and those of them avoided by hand or by the
-  // module's choice.
+  // The number of cache servers in the list (in service or terminating), and of those that are suspended by
+  // an operator or avoided by the module.
   struct Census {
     std::size_t known = 0, skipped = 0;
   };
   Census Count() const;
 
-  // What is worth keeping over a restart, but for whose it is and when.
-  Snapshot Keep(std::size_t most_keys) const;
-  // What an earlier process had learnt, taken up at once, or with the first list where there is none yet,
-  // as far as the list names the same servers with the same starts. `faith`: how far it is believed, by
-  // its age.
-  void Recall(Snapshot kept, double faith);
+  // The state to preserve over a restart. Does not fill in the router's name and the time.
+  Snapshot Keep(std::size_t max_keys) const;
+  // Restores what an earlier process had learnt, for the servers that the list names with the same start
+  // time. It is applied at once, or with the first list if there is none yet. `confidence`: how far it is
+  // trusted, 0 to 1, which depends on its age.
+  void Recall(Snapshot snapshot, double confidence);
 
   bool ready() const { return ready_; }
-  // Has discovery told this process its list?
+  // Whether this process has received a list from discovery.
   bool confirmed() const { return confirmed_; }
   std::size_t open_requests() const { return open_requests_; }
 
@@ -113,58 +115,58 @@
     Time deadline{0};
     int attempts = 0;
     bool ended = false;
-    AttemptId streaming = 0;  // the attempt whose value goes on in pieces
-    std::vector<AttemptId> out;
-    std::vector<ServerId> asked;
-    Time repeat_by{Time::max()};  // of a keyed one that may have run: its repeats have left by then
-    bool may_have_run = false;    // one of its attempts, for all that is known
+    AttemptId streaming = 0;  // the attempt whose value is being streamed; 0: none
+    std::vector<AttemptId> in_flight;
+    std::vector<ServerId> tried_servers;
+    Time repeat_by{Time::max()};  // a keyed request that may have run: repeats must be sent before this
+    bool may_have_run = false;    // one of its attempts may have run, as far as is known
   };
   struct Attempt {
     RequestId request = 0;  // 0: a probe
     ServerId server = 0;
-    int number = 0;  // among its request's, from 0
+    int number = 0;  // its index among the request's attempts, from 0
     Time sent{0};
-    Time sent_by{0};  // its last byte has left by then
+    Time sent_by{0};  // its last byte must be sent before this
     Deadlines::Id deadline;
   };
 
   void Queue(beechledge::Event event);
   void Push(beechledge::Event event);
   void Pump();
-  void Do(const beechledge::Send& a);
-  void Do(const beechledge::Refuse& a);
-  void Do(const beechledge::Fail& a);
-  void Do(const beechledge::Cancel& a);
-  void Do(const beechledge::SetTimer& a);
-  void Do(const beechledge::Subscribe& a);
-  void Do(const beechledge::FetchList&);
-  void Do(const beechledge::Probe& a);
-  void Do(const beechledge::CloseIdle& a);
-  void Do(const beechledge::Tell&) {}  // routers share nothing
-  void Do(const beechledge::Log& a);
-
-  SendVerdict JudgeSending(const Request* request, ServerId server, int attempt) const;
-  bool RunsOnceOnly(const Request& request) const;
+  void Execute(const beechledge::Send& a);
+  void Execute(const beechledge::Refuse& a);
+  void Execute(const beechledge::Fail& a);
+  void Execute(const beechledge::Cancel& a);
+  void Execute(const beechledge::SetTimer& a);
+  void Execute(const beechledge::Subscribe& a);
+  void Execute(const beechledge::FetchList&);
+  void Execute(const beechledge::Probe& a);
+  void Execute(const beechledge::CloseIdle& a);
+  void Execute(const beechledge::Tell&) {}  // routers exchange no messages
+  void Execute(const beechledge::Log& a);
+
+  SendVerdict EvaluateAttempt(const Request* request, ServerId server, int attempt) const;
+  bool IsUnsafe(const Request& request) const;
   void HoldBack(const beechledge::Send& a, int attempt, bool complete, SendVerdict why);
-  void End(Request& request);
-  void GiveUp(AttemptId id, beechledge::Result why);
-  void Stall(Attempt& attempt, AttemptId id);
-  void Conclude(AttemptId id, AttemptEnd end);
+  void MarkEnded(Request& request);
+  void AbortAttempt(AttemptId id, beechledge::Result why);
+  void RestartStallTimer(Attempt& attempt, AttemptId id);
+  void FinishAttempt(AttemptId id, AttemptEnd end);
   void AnswerRequest(Request& request, const Answer& answer);
-  void Release(RequestId id);
-  void Retire();
-  Back& BackOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : nodes_); }
-  // Acts on what the directory says has changed, and hands it to the module.
+  void RemoveIfDone(RequestId id);
+  void ForgetRemovedServers();
+  Back& BackEndOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : cache_servers_); }
+  // Acts on the changes that the directory reports and passes them to the module.
   void Apply(const DirectoryUpdate& update, beechledge::ListKind kind, bool old = false);
   beechledge::ServerEntry EntryFor(ServerId id) const;
   void LogVerdict(const DirectoryUpdate& update, const ServerList& list, const ListOrigin& origin) const;
   void LogChange(ServerId id) const;
-  // Acts on what operators have said of the server.
-  void Reconsider(const std::string& uid);
-  void PutBack(const std::string& uid);
+  // Applies the operators' state of the server (suspended, resumed).
+  void ApplyOperatorState(const std::string& uid);
+  void ReturnToService(const std::string& uid);
   void CountClass(int request_class, AnswerKind kind);
-  void LogBeliefs();
-  void TakeUp();
+  void LogAvoidedServers();
+  void ApplySnapshot();
 
   beechledge::Settings settings_;
   beechledge::Balancer balancer_;
@@ -172,26 +174,26 @@
   std::function<Time()> now_;
   Deadlines& deadlines_;
   Counters& counters_;
-  Back* nodes_ = nullptr;
+  Back* cache_servers_ = nullptr;
   Back* origin_ = nullptr;
   Watch* watch_ = nullptr;
 
   Slots<Request> requests_;
   Slots<Attempt> attempts_;
   ServerDirectory directory_;
-  NewsLedger ledger_;                                         // for the run-time checks alone
-  std::unordered_map<std::string, Deadlines::Id> returning_;  // by uid: resumed, and not used again yet
-  std::unordered_set<std::string> by_id_;                     // the ids of the requests in the table
+  AvailabilityRecord availability_record_;                        // used only by the run-time checks
+  std::unordered_map<std::string, Deadlines::Id> resume_timers_;  // by uid: resumed, not used again yet
+  std::unordered_set<std::string> request_ids_;                   // the ids of the requests in the table
   struct Queued {
-    Time at;  // when it happened
+    Time at;  // when the event happened
     beechledge::Event event;
   };
   std::deque<Queued> queue_;
   bool pumping_ = false;
   bool ready_ = false, confirmed_ = false;
-  std::optional<Snapshot> kept_;  // not taken up yet
-  double faith_ = 0;
-  std::size_t open_requests_ = 0;  // without their answer
+  std::optional<Snapshot> pending_snapshot_;  // not applied yet
+  double snapshot_confidence_ = 0;
+  std::size_t open_requests_ = 0;  // requests whose answer is pending
 };
 
 }  // namespace brasswood
--- a/src/core/send_guard.h
+++ b/src/core/send_guard.h
@@ -1,6 +1,6 @@
-// The one guard that every attempt passes before anything of it is sent: when the engine is asked to send
-// it, and again where its first byte leaves, as much may have changed while a connection came up. Free of
-// I/O.
+// The check that every attempt has to pass before any byte of it is sent. It runs when the engine is asked
+// to send the attempt, and again just before the first byte is written, because the state may have changed
+// while the connection was being established. Does no I/O.
 #ifndef BRASSWOOD_CORE_SEND_GUARD_H_
 #define BRASSWOOD_CORE_SEND_GUARD_H_
 
@@ -9,28 +9,29 @@
 
 namespace brasswood {
 
-// What is known of an attempt, its request and its server at that moment.
+// The state of an attempt, its request and its server at the time of the check.
 struct SendFacts {
   bool request_open = false;
   bool client_present = true;
   Time now{0};
-  Time send_by{0};  // its last byte has left by then
+  Time send_by{0};  // the last byte must be sent before this
   bool attempts_left = true;
-  bool alone = true;     // no other attempt of its request is out, or several may be
-  bool harmless = true;  // running it once more does no harm, or it cannot have run
+  // No other attempt of the request is in flight, or parallel attempts are allowed.
+  bool no_conflict = true;
+  bool repeat_safe = true;  // the request is safe to run again, or it cannot have run
   bool server_known = true;
-  bool server_serving = true;  // or told otherwise so short a time ago that it may still be sent to
+  bool server_serving = true;  // in service, or so early in its drain that it may still be sent to
   bool same_endpoint = true;
 };
 
-inline SendVerdict JudgeSend(const SendFacts& facts) {
+inline SendVerdict EvaluateSend(const SendFacts& facts) {
   if (!facts.request_open) return SendVerdict::kRequestEnded;
   if (!facts.server_known) return SendVerdict::kServerUnknown;
   if (!facts.client_present) return SendVerdict::kClientGone;
   if (facts.now >= facts.send_by) return SendVerdict::kTooLate;
   if (!facts.attempts_left) return SendVerdict::kAttemptsSpent;
-  if (!facts.alone) return SendVerdict::kAttemptOut;
-  if (!facts.harmless) return SendVerdict::kMayHaveRun;
+  if (!facts.no_conflict) return SendVerdict::kAttemptOut;
+  if (!facts.repeat_safe) return SendVerdict::kMayHaveRun;
   if (!facts.server_serving) return SendVerdict::kServerDraining;
   if (!facts.same_endpoint) return SendVerdict::kServerMoved;
   return SendVerdict::kAllowed;
--- a/src/discovery/news_ledger.h
+++ b/src/discovery/news_ledger.h
@@ -1,5 +1,6 @@
-// What discovery's answers have told of drains, removals and returns, for the run-time checks: kept apart
-// from the server directory, which it checks, and fed with the answers as they were received. Free of I/O.
+// Records the drains, removals and returns that discovery's answers contained, for the run-time checks. It
+// is independent of the server directory, which it checks, and is fed with the answers as received. Does no
+// I/O.
 #ifndef BRASSWOOD_DISCOVERY_NEWS_LEDGER_H_
 #define BRASSWOOD_DISCOVERY_NEWS_LEDGER_H_
 
@@ -15,59 +16,59 @@
 
 namespace brasswood {
 
-class NewsLedger {
+class AvailabilityRecord {
  public:
-  // A list whose word holds: a whole one, or changes from a version that is held.
-  void Note(const ServerList& list, Time arrived) {
-    for (const ServerEntry& entry : list.entries) NoteEntry(entry, list.rev, arrived);
+  // Records an applicable list: a whole list, or changes from a version that is held.
+  void RecordList(const ServerList& list, Time arrived) {
+    for (const ServerEntry& entry : list.entries) RecordEntry(entry, list.rev, arrived);
     if (!list.all) return;
     std::set<std::string> named;
     for (const ServerEntry& entry : list.entries) named.insert(entry.uid);
-    for (auto& [uid, word] : words_) {
-      if (!named.contains(uid)) NoteWord(word, true, list.rev, arrived);
+    for (auto& [uid, state] : states_) {
+      if (!named.contains(uid)) UpdateState(state, true, list.rev, arrived);
     }
-    std::erase_if(words_, [arrived](const auto& word) {
-      return word.second.out_since && arrived - *word.second.out_since > kRemembered;
+    std::erase_if(states_, [arrived](const auto& state) {
+      return state.second.out_since && arrived - *state.second.out_since > kRemovedRetention;
     });
   }
-  // Entries of an answer that is not whole: a return counts only once all of it is there.
-  void NotePart(const ServerList& part, Time arrived) {
+  // Records entries of an incomplete answer. A return to service counts only once the answer is complete.
+  void RecordPart(const ServerList& part, Time arrived) {
     for (const ServerEntry& entry : part.entries) {
-      if (entry.availability != beechledge::Availability::kUp) NoteEntry(entry, part.rev, arrived);
+      if (entry.availability != beechledge::Availability::kUp) RecordEntry(entry, part.rev, arrived);
     }
   }
-  // Discovery's versions begin anew.
-  void Restart() { words_.clear(); }
+  // Discovery restarted with lower versions.
+  void Reset() { states_.clear(); }
 
-  // May a request go to the server, by the newest version's word of it? A server of which nothing was told
-  // is one of the configured list.
+  // Whether a request may be sent to the server, according to the newest version that mentions it. A server
+  // that no answer mentioned comes from the configured list.
   bool MaySend(const std::string& uid, Time now, Duration grace) const {
-    const auto word = words_.find(uid);
-    return word == words_.end() || !word->second.out_since || now - *word->second.out_since < grace;
+    const auto state = states_.find(uid);
+    return state == states_.end() || !state->second.out_since || now - *state->second.out_since < grace;
   }
 
  private:
-  static constexpr Duration kRemembered = std::chrono::seconds(60);
-  struct Word {
+  static constexpr Duration kRemovedRetention = std::chrono::seconds(60);
+  struct State {
     std::int64_t version = -1;
-    std::optional<Time> out_since;  // since the first word of its drain or removal
+    std::optional<Time> out_since;  // when its drain or removal was first received
   };
 
-  void NoteEntry(const ServerEntry& entry, std::int64_t version, Time arrived) {
-    NoteWord(words_[entry.uid], entry.availability != beechledge::Availability::kUp, version, arrived);
+  void RecordEntry(const ServerEntry& entry, std::int64_t version, Time arrived) {
+    UpdateState(states_[entry.uid], entry.availability != beechledge::Availability::kUp, version, arrived);
   }
-  static void NoteWord(Word& word, bool out, std::int64_t version, Time arrived) {
-    if (version < word.version) return;
-    const bool newer = version > word.version;
-    word.version = version;
+  static void UpdateState(State& state, bool out, std::int64_t version, Time arrived) {
+    if (version < state.version) return;
+    const bool newer = version > state.version;
+    state.version = version;
     if (out) {
-      word.out_since = std::min(word.out_since.value_or(arrived), arrived);
+      state.out_since = std::min(state.out_since.value_or(arrived), arrived);
     } else if (newer) {
-      word.out_since.reset();
+      state.out_since.reset();
     }
   }
 
-  std::map<std::string, Word> words_;  // by uid
+  std::map<std::string, State> states_;  // by uid
 };
 
 }  // namespace brasswood
--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -9,11 +9,11 @@
 
 // ---- Lists ----
 
-DirectoryUpdate ServerDirectory::Remember(const ServerList& list, Time now) {
+DirectoryUpdate ServerDirectory::SetInitialList(const ServerList& list, Time now) {
   DirectoryUpdate update;
   ListOrigin origin;
   origin.told = now;
-  TakeAll(list, {list.rev, false}, origin, update);
+  ApplyAll(list, {list.rev, false}, origin, update);
   if (list.rev >= 0) held_ = list.rev;
   return update;
 }
@@ -22,7 +22,7 @@
   if (origin.begun < restarted_) return ListVerdict::kOlder;
   if (held_ && list.rev < *held_) {
     if (origin.begun <= held_confirmed_) return ListVerdict::kOlder;
-    return RestartProven(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
+    return RestartConfirmed(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
   }
   const bool has_base = list.all || (origin.since && held_ && *origin.since <= *held_);
   return has_base ? ListVerdict::kTaken : ListVerdict::kNoBase;
@@ -35,16 +35,16 @@
     case ListVerdict::kOlder:
       return update;
     case ListVerdict::kDoubted:
-      TakeDoubted(list, origin, update);
+      ApplyDoubted(list, origin, update);
       return update;
     case ListVerdict::kNoBase:
-      TakeDrains(list, {list.rev, true}, origin, update);
+      ApplyDrains(list, {list.rev, true}, origin, update);
       return update;
     case ListVerdict::kRestartTaken:
       restarted_ = origin.arrived;
       for (Record& record : records_) {
         record.stamp = {};
-        record.start_floor = std::max(record.start_floor, record.told.started);
+        record.min_started = std::max(record.min_started, record.reported.started);
       }
       break;
     default:
@@ -52,32 +52,32 @@
   }
   held_ = list.rev;
   held_confirmed_ = std::max(held_confirmed_, origin.arrived);
-  TakeAll(list, {list.rev, true}, origin, update);
+  ApplyAll(list, {list.rev, true}, origin, update);
   EndDoubt(origin.told, update);
   return update;
 }
 
 DirectoryUpdate ServerDirectory::MergePart(const ServerList& part, const ListOrigin& origin) {
   DirectoryUpdate update;
-  // Guards against a late copy of an earlier answer: its drains may be over.
+  // Guards against a late copy of an earlier answer: its drains may have ended since.
   if (origin.begun < restarted_ || (held_ && part.rev <= *held_)) {
     update.verdict = ListVerdict::kNotNewer;
     return update;
   }
   update.verdict = ListVerdict::kPartTaken;
-  TakeDrains(part, {part.rev, true}, origin, update);
+  ApplyDrains(part, {part.rev, true}, origin, update);
   return update;
 }
 
-// A whole list, or changes whose base is held.
-void ServerDirectory::TakeAll(const ServerList& list, const Stamp& stamp, const ListOrigin& origin,
-                              DirectoryUpdate& update) {
+// Applies a whole list, or changes whose base version is held.
+void ServerDirectory::ApplyAll(const ServerList& list, const Stamp& stamp, const ListOrigin& origin,
+                               DirectoryUpdate& update) {
   std::vector<bool> named(records_.size());
   for (const ServerEntry& entry : list.entries) {
-    const ServerId id = Place(entry);
+    const ServerId id = FindOrAdd(entry);
     if (id >= named.size()) named.resize(id + 1);
     named[id] = true;
-    if (Replaces(records_[id], entry, stamp)) Take(id, entry, stamp, origin.source);
+    if (Replaces(records_[id], entry, stamp)) StoreEntry(id, entry, stamp, origin.source);
     Refresh(id, origin.told, update);
     update.named.push_back(id);
   }
@@ -85,74 +85,79 @@
   for (ServerId id = 0; id < records_.size(); ++id) {
     Record& record = records_[id];
     if (named[id] || record.server.uid.empty() || record.stamp.version > stamp.version) continue;
-    record.told.availability = Availability::kRemoved;
+    record.reported.availability = Availability::kRemoved;
     record.stamp = stamp;
     Refresh(id, origin.told, update);
   }
 }
 
-// Leaving a server out breaks no rule, whatever the rest of the answer says.
-void ServerDirectory::TakeDrains(const ServerList& list, const Stamp& stamp, const ListOrigin& origin,
-                                 DirectoryUpdate& update) {
+// Applies only drains and removals: taking a server out of service breaks no rule, whatever the rest of the
+// answer contains.
+void ServerDirectory::ApplyDrains(const ServerList& list, const Stamp& stamp, const ListOrigin& origin,
+                                  DirectoryUpdate& update) {
   for (const ServerEntry& entry : list.entries) {
     const auto known = by_uid_.find(entry.uid);
     if (known == by_uid_.end() || entry.availability == Availability::kUp) continue;
     if (!Replaces(records_[known->second], entry, stamp)) continue;
-    Take(known->second, entry, stamp, origin.source);
+    StoreEntry(known->second, entry, stamp, origin.source);
     Refresh(known->second, origin.told, update);
     update.named.push_back(known->second);
   }
 }
 
-// Does the entry's word, told with this stamp, go before the one held? One version says one thing; where
-// two lists of one version differ, the word that is safer and later in life holds, whichever came first.
+// Whether the entry with this stamp replaces the one held. A version should have one content only; if two
+// lists of the same version differ, the safer entry is used (removed before draining before in service),
+// then the one with the later start, whichever arrived first.
 bool ServerDirectory::Replaces(const Record& record, const ServerEntry& entry, const Stamp& stamp) const {
-  const auto order = [](const Stamp& s) { return std::tuple(s.version, s.discovery); };
+  const auto order = [](const Stamp& s) { return std::tuple(s.version, s.from_discovery); };
   if (record.server.uid.empty() || order(stamp) != order(record.stamp)) {
     return record.server.uid.empty() || order(stamp) > order(record.stamp);
   }
   const auto rank = [](const ServerEntry& e) {
     return std::tuple(e.availability, e.started, e.endpoint, e.scale, e.zone, e.kind, e.cell);
   };
-  return rank(entry) >= rank(record.told);
+  return rank(entry) >= rank(record.reported);
 }
 
-ServerId ServerDirectory::Place(const ServerEntry& entry) {
-  const bool reuse = !unused_.empty();
+ServerId ServerDirectory::FindOrAdd(const ServerEntry& entry) {
+  const bool reuse = !free_ids_.empty();
   const auto [it, fresh] =
-      by_uid_.emplace(entry.uid, reuse ? unused_.back() : static_cast<ServerId>(records_.size()));
+      by_uid_.emplace(entry.uid, reuse ? free_ids_.back() : static_cast<ServerId>(records_.size()));
   if (fresh && reuse) {
-    unused_.pop_back();
+    free_ids_.pop_back();
   } else if (fresh) {
     records_.emplace_back();
   }
   return it->second;
 }
 
-void ServerDirectory::Take(ServerId id, const ServerEntry& entry, const Stamp& stamp, SourceId source) {
+void ServerDirectory::StoreEntry(ServerId id, const ServerEntry& entry, const Stamp& stamp,
+                                 SourceId source) {
   Record& record = records_[id];
-  record.told = entry;
+  record.reported = entry;
   record.stamp = stamp;
   record.source = source;
 }
 
-// ---- What a server's state follows from ----
+// ---- The state of a server ----
 
 ServerEntry ServerDirectory::Effective(ServerId id) const {
   const Record& record = records_[id];
-  ServerEntry entry = record.told;
-  const bool left_out = record.doubted || suspended_.contains(entry.uid) || returning_.contains(entry.uid);
-  if (left_out && entry.availability == Availability::kUp) entry.availability = Availability::kDraining;
-  entry.started = std::max(entry.started, record.start_floor);
-  // Guards against a restart that discovery does not tell, or tells late: what the server held is gone,
-  // and the module is to treat it as cold from the resume.
-  if (const auto it = put_back_.find(entry.uid); it != put_back_.end())
+  ServerEntry entry = record.reported;
+  const bool out_of_service =
+      record.doubted || suspended_.contains(entry.uid) || returning_.contains(entry.uid);
+  if (out_of_service && entry.availability == Availability::kUp)
+    entry.availability = Availability::kDraining;
+  entry.started = std::max(entry.started, record.min_started);
+  // Guards against a restart that discovery does not report, or reports late: the server's contents are
+  // lost, and the module has to treat it as cold from the resume on.
+  if (const auto it = returned_.find(entry.uid); it != returned_.end())
     entry.started = std::max(entry.started, it->second);
   return entry;
 }
 
-// `told`: from when the news that led here counts as told.
-void ServerDirectory::Refresh(ServerId id, Time told, DirectoryUpdate& update) {
+// `notified_at`: the time from which the router counts as notified of the update that caused this.
+void ServerDirectory::Refresh(ServerId id, Time notified_at, DirectoryUpdate& update) {
   Record& record = records_[id];
   Server& server = record.server;
   const ServerEntry entry = Effective(id);
@@ -163,16 +168,16 @@
     update.moved.push_back(id);
   }
   if (fresh || server.availability != entry.availability) update.changed.push_back(id);
-  if (fresh || server.started != entry.started) ++server.life;
-  if (!is_in) server.out_since = was_in || fresh ? told : std::min(server.out_since, told);
+  if (fresh || server.started != entry.started) ++server.start_count;
+  if (!is_in) server.out_since = was_in || fresh ? notified_at : std::min(server.out_since, notified_at);
   if (entry.availability == Availability::kRemoved &&
       (fresh || server.availability != Availability::kRemoved)) {
-    record.removed_at = told;
+    record.removed_at = notified_at;
   }
   server.uid = entry.uid;
   server.endpoint = entry.endpoint;
   server.started = entry.started;
-  // Decided once: an attempt must end at the back end that it began at.
+  // Set only once: an attempt must end at the back end where it started.
   if (fresh) server.origin = origin_kind_ >= 0 && entry.kind == origin_kind_;
   server.availability = entry.availability;
 }
@@ -195,8 +200,9 @@
   }));
 }
 
-// A list with nothing in service is no evidence: taken as the truth, it would leave nothing to serve from.
-bool ServerDirectory::RestartProven(const ServerList& list, const ListOrigin& origin) const {
+// A list without any server in service is no evidence of a restart: if it were applied, there would be no
+// server left to send requests to.
+bool ServerDirectory::RestartConfirmed(const ServerList& list, const ListOrigin& origin) const {
   const bool serves = std::any_of(list.entries.begin(), list.entries.end(), [](const ServerEntry& entry) {
     return entry.availability == Availability::kUp;
   });
@@ -204,10 +210,10 @@
          origin.begun - doubt_.first_begun >= kRestartEvidence;
 }
 
-// Guards against a drain that a restarted discovery tells with a version below the one held.
-void ServerDirectory::TakeDoubted(const ServerList& list, const ListOrigin& origin,
-                                  DirectoryUpdate& update) {
-  if (!list.all) return;  // changes from nothing that is known
+// Guards against missing a drain that a restarted discovery sends with a version below the one held.
+void ServerDirectory::ApplyDoubted(const ServerList& list, const ListOrigin& origin,
+                                   DirectoryUpdate& update) {
+  if (!list.all) return;  // changes from an unknown state
   if (doubt_.lists++ == 0) doubt_.first_begun = origin.begun;
   const bool newest = list.rev >= doubt_.version;
   doubt_.version = std::max(doubt_.version, list.rev);
@@ -216,21 +222,21 @@
     named.insert(entry.uid);
     if (entry.availability == Availability::kUp) in_service.insert(entry.uid);
     if (const auto known = Find(entry.uid)) {
-      records_[*known].start_floor = std::max(records_[*known].start_floor, entry.started);
+      records_[*known].min_started = std::max(records_[*known].min_started, entry.started);
     }
   }
-  std::size_t left = InService();
+  std::size_t in_service_left = InService();
   for (ServerId id = 0; id < records_.size(); ++id) {
     Record& record = records_[id];
     const std::string& uid = record.server.uid;
     if (uid.empty() || record.server.origin) continue;
-    // A list that lags does not name new servers; one that has named a server, and does so no more, tells
-    // of its end.
-    const bool tells = named.contains(uid) || doubt_.named.contains(uid);
+    // A list that lags does not name new servers. If an earlier list in this doubt named the server and
+    // this one does not, the server was removed.
+    const bool mentioned = named.contains(uid) || doubt_.named.contains(uid);
     const bool serves = record.server.availability == Availability::kUp;
-    if (tells && !in_service.contains(uid) && (!serves || left > 1)) {
+    if (mentioned && !in_service.contains(uid) && (!serves || in_service_left > 1)) {
       record.doubted = true;
-      left -= serves;
+      in_service_left -= serves;
     }
     if (newest && in_service.contains(uid)) record.doubted = false;
     Refresh(id, origin.told, update);
@@ -264,12 +270,12 @@
   return true;
 }
 
-void ServerDirectory::PutBack(const std::string& uid, Time now) {
+void ServerDirectory::ReturnToService(const std::string& uid, Time now) {
   returning_.erase(uid);
-  put_back_[uid] = now;
+  returned_[uid] = now;
 }
 
-DirectoryUpdate ServerDirectory::Reconsider(const std::string& uid, Time now) {
+DirectoryUpdate ServerDirectory::ApplyOperatorState(const std::string& uid, Time now) {
   DirectoryUpdate update;
   const auto id = Find(uid);
   if (!id) return update;
@@ -278,7 +284,7 @@
   return update;
 }
 
-// ---- Servers that are gone ----
+// ---- Removed servers ----
 
 bool ServerDirectory::RemovedBefore(ServerId id, Time before) const {
   const Record& record = records_[id];
@@ -295,9 +301,9 @@
 
 void ServerDirectory::Forget(ServerId id) {
   by_uid_.erase(records_[id].server.uid);
-  put_back_.erase(records_[id].server.uid);
+  returned_.erase(records_[id].server.uid);
   records_[id] = {};
-  unused_.push_back(id);
+  free_ids_.push_back(id);
 }
 
 }  // namespace brasswood
