--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -8,41 +8,45 @@
 
 using std::chrono::milliseconds;
 
-// From one call to the next one beside it, while the first may still be answered.
-constexpr Duration kLeastGap = std::chrono::seconds(1);
-constexpr Duration kMostGap = std::chrono::seconds(3);
-constexpr Duration kMostFirstGap = milliseconds(1500);
-constexpr Duration kCrowdedGap = milliseconds(2200);  // where calls have been refused of late
-constexpr Duration kCrowdedFor = std::chrono::seconds(10);
-constexpr Duration kPrompt = milliseconds(500);  // an answer within this is that of a service at ease
-constexpr int kEarlyCalls = 5;                   // after these the gap doubles
-
-// The same before an agent that serves this router alone, as parts of a drain's grace.
-constexpr Duration kAgentLeastGap = milliseconds(25);
-constexpr Duration kAgentMostGap = milliseconds(750);
-constexpr Duration kAgentMostConnect = milliseconds(400);
-
-// A pause in an answer that has begun, as part of a drain's grace.
-constexpr Duration kLeastStall = milliseconds(50);
-constexpr Duration kMostStall = milliseconds(250);
-
-// The oldest call may wait so many times the limit on a stalled answer: before a service that takes calls
-// in turn it is the one that comes first.
-constexpr int kPatience = 20;
-
-// Where discovery serves many and has been slow, a watch is held longer, by what a call has been taking and
-// at most this: each costs it a call. And its end is waited for longer: a watch that waits in a queue is
-// not silent.
-constexpr Duration kMostLonger = std::chrono::seconds(1);
-constexpr Duration kMostLate = std::chrono::seconds(2);
-
-// Quick repeats after a break, in a burst and for each second.
-constexpr double kHasteBurst = 4, kHastePerSecond = 0.4;
-constexpr double kAgentHasteBurst = 8, kAgentHastePerSecond = 2;
-
-// A lack of this process's own (a descriptor) costs discovery nothing to try again.
-constexpr int kMostLacks = 20;
-constexpr Duration kLackPause = milliseconds(50);
+// The gap between one call and the next one beside it, while the first may still be answered.
+constexpr Duration kMinGap = std::chrono::seconds(1);
+constexpr Duration kMaxGap = std::chrono::seconds(3);
+constexpr Duration kMaxFirstGap = milliseconds(1500);
+constexpr Duration kOverloadedGap = milliseconds(2200);  // after calls were refused recently
+constexpr Duration kOverloadedFor = std::chrono::seconds(10);
+constexpr Duration kPromptAnswer =
+    milliseconds(500);          // an answer within this shows that discovery has capacity
+constexpr int kEarlyCalls = 5;  // the gap doubles with each call from this one on
+
+// The gaps and the limit on connecting for an agent that serves only this router. The values in use are
+// fractions of a drain's grace period, within these bounds.
+constexpr Duration kAgentMinGap = milliseconds(25);
+constexpr Duration kAgentMaxGap = milliseconds(750);
+constexpr Duration kAgentMaxConnect = milliseconds(400);
+
+// Bounds of the pause in an answer after which another call is opened, a fraction of a drain's grace
+// period.
+constexpr Duration kMinStall = milliseconds(50);
+constexpr Duration kMaxStall = milliseconds(250);
+
+// The oldest call may wait this many times the limit on a stalled answer: a service that serves calls in a
+// queue answers the oldest one first.
+constexpr int kMaxWaitFactor = 20;
+
+// If discovery serves many routers and is slow, each watch is held longer, by the time that a call has been
+// taking but at most kMaxWatchExtension, because each watch costs discovery a call. The router also waits
+// longer before a watch counts as silent, at most kMaxWatchLateness: a watch that waits in a queue is not
+// silent.
+constexpr Duration kMaxWatchExtension = std::chrono::seconds(1);
+constexpr Duration kMaxWatchLateness = std::chrono::seconds(2);
+
+// A token bucket for quick retries after a broken call: its burst and its refill rate.
+constexpr double kQuickRetryBurst = 4, kQuickRetriesPerSecond = 0.4;
+constexpr double kAgentQuickRetryBurst = 8, kAgentQuickRetriesPerSecond = 2;
+
+// If this process has no free descriptor, trying again soon costs discovery nothing.
+constexpr int kMaxDescriptorRetries = 20;
+constexpr Duration kDescriptorRetryDelay = milliseconds(50);
 
 }  // namespace
 
@@ -52,65 +56,66 @@
       pacing_(pacing),
       random_(seed),
       version_(held),
-      haste_(limits.agent ? kAgentHasteBurst : kHasteBurst) {}
+      quick_retries_(limits.agent ? kAgentQuickRetryBurst : kQuickRetryBurst) {}
 
-// ---- Facts ----
+// ---- Events ----
 
 void ListRefresher::Follow(Time now, ListActions& out) {
   if (following_) return;
   following_ = true;
-  // What an agent has counts from the first moment of a process, so it is asked, and not waited for.
+  // A list that an agent has counts as received from the start of the process on, so the agent is asked for
+  // it instead of waiting for a change.
   const bool watch = version_.has_value() && !ask_first_ && !limits_.agent;
   if (!watch) {
-    Disturb(now, Duration(0));
+    RequireRefresh(now, Duration(0));
     return Step(now, CallEnd::kAnswered, out);
   }
   Open(now, target_, watch, 0, out);
-  calls_.back().disturbed = true;  // the list held may be older than what has been told
+  calls_.back().during_refresh = true;  // changes since the list held may have been sent long ago
 }
 
 void ListRefresher::AskWhole(Time now, ListActions& out) {
   following_ = true;
   version_.reset();
   CloseIf([this](const Call& call) { return call.source == target_; }, CallEnd::kMadeWay, out);
-  Disturb(now, Duration(0));
+  RequireRefresh(now, Duration(0));
   Step(now, CallEnd::kMadeWay, out);
 }
 
-// Guards against waiting for the old service to fail, and against hearing nothing until the new one
-// answers: what either tells counts. The last configuration holds, and a call that is out to it already
-// goes on.
+// Guards against waiting for the old service to fail, and against receiving nothing until the new one
+// answers: lists from either are used. The last configuration applies, and a call that is already open to
+// its address stays open.
 void ListRefresher::Move(Time now, SourceId to, ListActions& out) {
   following_ = true;
   if (to == target_) {
-    // The agent beside this router is asked all the same: nobody else waits for it.
-    if (!AnyOut() || limits_.agent) Disturb(now, Duration(0));
+    // An agent is asked in any case, because it serves no other router.
+    if (!AnyCallToTarget() || limits_.agent) RequireRefresh(now, Duration(0));
     return Step(now, CallEnd::kMoved, out);
   }
   target_ = to;
   if (!moving() && Watching()) {
-    CloseOthers(CallEnd::kMoved, out);
-    disturbed_ = false;
+    CloseAllButTarget(CallEnd::kMoved, out);
+    refresh_needed_ = false;
     return Step(now, CallEnd::kMoved, out);
   }
-  BoundPassing(out);
+  LimitIntermediateCalls(out);
   pacing_.Forget();
   const Duration wait = WaitAfterMove(now);
-  disturbed_ = false;
-  Disturb(now, wait);
+  refresh_needed_ = false;
+  RequireRefresh(now, wait);
   Step(now, CallEnd::kMoved, out);
 }
 
-// Until the first call to the new address. Guards against calls forsaken by each of several configurations
-// in a row, which keep a slow discovery busy: one that waits in its line, and the wait after a refusal,
-// hold for the new address as well. Both are counted from where they began, so that no further
-// configuration puts the call off.
+// The time until the first call to the new address. Guards against several configurations in a row that
+// each abandon a call and so keep a slow discovery busy: a call that waits in discovery's queue, and the
+// wait after a refusal, delay the call to the new address too. Both are counted from when they began, so
+// that further configurations do not postpone the call.
 Duration ListRefresher::WaitAfterMove(Time now) const {
   if (limits_.agent) return Duration(0);
-  Time first = disturbed_ ? std::min(next_open_, now + kMostFirstGap) : now;
+  Time first = refresh_needed_ ? std::min(next_open_, now + kMaxFirstGap) : now;
   const auto oldest =
       std::find_if(calls_.begin(), calls_.end(), [](const Call& c) { return c.wait == Duration(0); });
-  if (oldest != calls_.end()) first = std::max(first, oldest->opened + kMostFirstGap);
+  if (oldest != calls_.end()) first = std::max(first, oldest->opened + kMaxFirstGap);
   return std::max(Duration(0), first - now);
 }
 
@@ -132,25 +137,25 @@
   const Call call = *found;
   std::erase_if(calls_, [id](const Call& c) { return c.id == id; });
   const Duration took = now - call.opened;
-  if (took < kPrompt && call.wait == Duration(0)) crowded_until_ = Time(0);
+  if (took < kPromptAnswer && call.wait == Duration(0)) overloaded_until_ = Time(0);
   if (call.wait == Duration(0)) {
-    usual_ = std::max(took, usual_ * 3 / 4);
+    answer_time_ = std::max(took, answer_time_ * 3 / 4);
   } else if (took < call.wait + limits_.watch_grace / 2) {
-    usual_ /= 2;
+    answer_time_ /= 2;
   }
-  heard_ = now;
+  last_list_ = now;
   version_ = version;
   if (call.source == target_) {
     pacing_.Told(now);
     current_ = target_;
-    CloseOthers(CallEnd::kMoved, out);
+    CloseAllButTarget(CallEnd::kMoved, out);
     CloseIf([](const Call&) { return true; }, CallEnd::kMadeWay, out);
-    disturbed_ = ask_first_ = false;
+    refresh_needed_ = ask_first_ = false;
     next_open_ = Time::max();
-    unanswered_ = lacks_ = 0;
+    unanswered_ = descriptor_failures_ = 0;
   }
   if (call.source == target_ || call.source == current_) Open(now, call.source, true, id, out);
-  if (moving() && !AnyOut()) Disturb(now, Duration(0));
+  if (moving() && !AnyCallToTarget()) RequireRefresh(now, Duration(0));
   Step(now, CallEnd::kAnswered, out);
   return true;
 }
@@ -162,8 +167,8 @@
   std::erase_if(calls_, [id](const Call& c) { return c.id == id; });
   const bool out_of_step = why == CallEnd::kOlderList || why == CallEnd::kNoBase;
   if (out_of_step && source == current_) version_.reset();
-  if (why == CallEnd::kRefused) crowded_until_ = now + kCrowdedFor;
-  if (source == target_ || (moving() && !AnyOut())) AfterFailure(now, why);
+  if (why == CallEnd::kRefused) overloaded_until_ = now + kOverloadedFor;
+  if (source == target_ || (moving() && !AnyCallToTarget())) AfterFailure(now, why);
   Step(now, why, out);
 }
 
@@ -172,21 +177,21 @@
   Step(now, why, out);
 }
 
-// ---- What it knows ----
+// ---- Queries ----
 
 Time ListRefresher::Next() const {
-  Time next = disturbed_ ? next_open_ : Time::max();
-  for (const Call& call : calls_) next = std::min(next, LimitOf(call));
+  Time next = refresh_needed_ ? next_open_ : Time::max();
+  for (const Call& call : calls_) next = std::min(next, DeadlineOf(call));
   return next;
 }
 
 bool ListRefresher::Undisturbed(CallId id) const {
   const Call* call = Find(id);
-  return call != nullptr && !call->disturbed && !call->suspect;
+  return call != nullptr && !call->during_refresh && !call->suspect;
 }
 
 std::optional<Duration> ListRefresher::Age(Time now) const {
-  return heard_ ? std::optional<Duration>(now - *heard_) : std::nullopt;
+  return last_list_ ? std::optional<Duration>(now - *last_list_) : std::nullopt;
 }
 
 // ---- Calls ----
@@ -199,14 +204,14 @@
   return const_cast<ListRefresher*>(this)->Find(id);
 }
 
-// Is a watch up that nothing speaks against?
+// Whether a watch of the target is open that is not suspect.
 bool ListRefresher::Watching() const {
   return std::any_of(calls_.begin(), calls_.end(), [this](const Call& c) {
     return c.source == target_ && c.wait > Duration(0) && !c.suspect;
   });
 }
 
-bool ListRefresher::AnyOut() const { return Calls(target_); }
+bool ListRefresher::AnyCallToTarget() const { return Calls(target_); }
 
 bool ListRefresher::Calls(SourceId source) const {
   return std::any_of(calls_.begin(), calls_.end(), [source](const Call& c) { return c.source == source; });
@@ -217,9 +222,9 @@
   call.id = ++last_id_;
   call.source = source;
   call.whole = source != current_ || !version_;
-  call.wait = watch && !call.whole ? limits_.watch + Usual(kMostLonger) : Duration(0);
+  call.wait = watch && !call.whole ? limits_.watch + AnswerTimeUpTo(kMaxWatchExtension) : Duration(0);
   call.opened = now;
-  call.disturbed = !watch;
+  call.during_refresh = !watch;
   calls_.push_back(call);
   out.push_back(OpenCall{call.id, source, call.whole ? std::nullopt : version_, call.wait, reuse});
 }
@@ -229,7 +234,7 @@
   out.push_back(CloseCall{id, why});
 }
 
-// `closes` is asked once of each call, the oldest first.
+// `closes` is called once for each call, the oldest first.
 template <class Predicate>
 void ListRefresher::CloseIf(Predicate closes, CallEnd why, ListActions& out) {
   const std::vector<Call> before = calls_;
@@ -238,140 +243,145 @@
   }
 }
 
-// All calls but those to the target.
-void ListRefresher::CloseOthers(CallEnd why, ListActions& out) {
+// Closes all calls except those to the target.
+void ListRefresher::CloseAllButTarget(CallEnd why, ListActions& out) {
   CloseIf([this](const Call& call) { return call.source != target_; }, why, out);
 }
 
-// Of the calls to addresses named in between those stay that have waited longest.
-void ListRefresher::BoundPassing(ListActions& out) {
-  std::size_t passing = 0;
+// Closes the excess calls to addresses configured in between. Those that have waited longest stay open.
+void ListRefresher::LimitIntermediateCalls(ListActions& out) {
+  std::size_t intermediate = 0;
   const auto in_excess = [&](const Call& call) {
-    return call.source != target_ && call.source != current_ && ++passing > kMostPassing;
+    return call.source != target_ && call.source != current_ && ++intermediate > kMaxIntermediateCalls;
   };
   CloseIf(in_excess, CallEnd::kMoved, out);
 }
 
-// Of the calls to the target the oldest stays, and of the others the one that has waited longer goes.
-void ListRefresher::MakeRoom(ListActions& out) {
+// Makes room for another call to the target. The oldest call stays open; of the others, the one that has
+// waited longest is closed.
+void ListRefresher::MakeRoomForCall(ListActions& out) {
   std::vector<CallId> ids;
   for (const Call& call : calls_) {
     if (call.source == target_) ids.push_back(call.id);
   }
-  if (ids.size() >= kMostCalls) Close(ids[1], CallEnd::kMadeWay, out);
+  if (ids.size() >= kMaxCalls) Close(ids[1], CallEnd::kMadeWay, out);
 }
 
-// ---- When the next call goes out ----
+// ---- When the next call is opened ----
 
-// Something speaks against the watch: a call that is answered at once goes out so much later.
-void ListRefresher::Disturb(Time now, Duration wait) {
-  if (!disturbed_) {
-    disturbed_ = true;
+// The watch cannot be relied on: a call that is answered at once is opened after `wait` at the latest.
+void ListRefresher::RequireRefresh(Time now, Duration wait) {
+  if (!refresh_needed_) {
+    refresh_needed_ = true;
     unanswered_ = 0;
     next_open_ = Time::max();
   }
   next_open_ = std::min(next_open_, now + wait);
 }
 
-// From this call to the next one beside it. Discovery that has been slow is given the time it takes.
-Duration ListRefresher::Gap(Time now) {
+// The gap between this call and the next one beside it. If discovery has been slow, the gap grows to 1.5
+// times the time that it takes for a call.
+Duration ListRefresher::NextGap(Time now) {
   const Duration grace = limits_.drain_grace;
-  const Duration patient = usual_ * 3 / 2;
+  const Duration slow_answer = answer_time_ * 3 / 2;
   if (limits_.agent) {
-    const Duration most = std::clamp<Duration>(grace * 3 / 4, kAgentLeastGap, kAgentMostGap);
-    Duration gap = std::clamp<Duration>(grace / 4, kAgentLeastGap, most);
-    for (int i = 1; i < unanswered_ && gap < most; ++i) gap *= 2;
-    return std::min(most, std::max(gap, patient));
+    const Duration max = std::clamp<Duration>(grace * 3 / 4, kAgentMinGap, kAgentMaxGap);
+    Duration gap = std::clamp<Duration>(grace / 4, kAgentMinGap, max);
+    for (int i = 1; i < unanswered_ && gap < max; ++i) gap *= 2;
+    return std::min(max, std::max(gap, slow_answer));
   }
-  Duration gap = std::max(kLeastGap, pacing_.spread());
-  if (unanswered_ <= 1) gap = std::min(gap, kMostFirstGap);
-  for (int i = kEarlyCalls; i <= unanswered_ && gap < kMostGap; ++i) gap *= 2;
-  if (now < crowded_until_) gap = std::max(gap, kCrowdedGap);
-  gap = std::min(kMostGap, std::max(gap, patient));
-  return std::chrono::duration_cast<Duration>(gap * (0.8 + 0.2 * Any()));
+  Duration gap = std::max(kMinGap, pacing_.spread());
+  if (unanswered_ <= 1) gap = std::min(gap, kMaxFirstGap);
+  for (int i = kEarlyCalls; i <= unanswered_ && gap < kMaxGap; ++i) gap *= 2;
+  if (now < overloaded_until_) gap = std::max(gap, kOverloadedGap);
+  gap = std::min(kMaxGap, std::max(gap, slow_answer));
+  return std::chrono::duration_cast<Duration>(gap * (0.8 + 0.2 * RandomUnit()));
 }
 
 Duration ListRefresher::ConnectLimit() const {
   if (!limits_.agent) return limits_.connect;
-  const Duration soon = std::clamp<Duration>(limits_.drain_grace / 2, kAgentLeastGap, kAgentMostConnect);
+  const Duration soon = std::clamp<Duration>(limits_.drain_grace / 2, kAgentMinGap, kAgentMaxConnect);
   return std::min(limits_.connect, soon);
 }
 
-// What a call has been taking, at most this; nothing of it where an agent serves this router alone.
-Duration ListRefresher::Usual(Duration most) const {
-  return limits_.agent ? Duration(0) : std::min(usual_, most);
+// The time that a call has been taking, at most `max`; 0 for an agent that serves only this router.
+Duration ListRefresher::AnswerTimeUpTo(Duration max) const {
+  return limits_.agent ? Duration(0) : std::min(answer_time_, max);
 }
 
 Duration ListRefresher::StallLimit() const {
-  return std::clamp<Duration>(limits_.drain_grace / 5, kLeastStall, kMostStall);
-}
-
-// Guards against a service that breaks each call at once: quick repeats are few.
-bool ListRefresher::TakeHaste(Time now) {
-  const double burst = limits_.agent ? kAgentHasteBurst : kHasteBurst;
-  const double rate = limits_.agent ? kAgentHastePerSecond : kHastePerSecond;
-  const double gained = rate * std::chrono::duration<double>(now - haste_filled_).count();
-  haste_ = std::min(burst, haste_ + gained);
-  haste_filled_ = now;
-  if (haste_ < 1) return false;
-  haste_ -= 1;
+  return std::clamp<Duration>(limits_.drain_grace / 5, kMinStall, kMaxStall);
+}
+
+// Takes a token for a quick retry. Guards against retrying in a tight loop if the service breaks each call
+// at once.
+bool ListRefresher::TakeQuickRetry(Time now) {
+  const double burst = limits_.agent ? kAgentQuickRetryBurst : kQuickRetryBurst;
+  const double rate = limits_.agent ? kAgentQuickRetriesPerSecond : kQuickRetriesPerSecond;
+  const double gained = rate * std::chrono::duration<double>(now - quick_retries_refilled_).count();
+  quick_retries_ = std::min(burst, quick_retries_ + gained);
+  quick_retries_refilled_ = now;
+  if (quick_retries_ < 1) return false;
+  quick_retries_ -= 1;
   return true;
 }
 
-// Guards against news that was written and lost on its way, which counts as told: after a break the next
-// call goes out soon. A refusal is another thing: discovery is short of room, or down, and the waits of
-// ListCalls spread the next calls over the fleet.
+// Guards against a change that discovery wrote and that was lost in transit, since the router counts as
+// notified of it: after a broken call the next call is opened soon. After a refusal, discovery lacks
+// capacity or is down, and the waits of ListCalls spread the next calls over the fleet.
 void ListRefresher::AfterFailure(Time now, CallEnd why) {
-  const bool first = !disturbed_;
+  const bool first = !refresh_needed_;
   const bool unanswered = why == CallEnd::kConnectTime || why == CallEnd::kNoAnswer;
   if (!unanswered && unanswered_ > 0) --unanswered_;
-  if (why == CallEnd::kNoDescriptor && ++lacks_ <= kMostLacks) {
-    Disturb(now, kLackPause);
-    next_open_ = now + kLackPause;
+  if (why == CallEnd::kNoDescriptor && ++descriptor_failures_ <= kMaxDescriptorRetries) {
+    RequireRefresh(now, kDescriptorRetryDelay);
+    next_open_ = now + kDescriptorRetryDelay;
     return;
   }
-  lacks_ = 0;
+  descriptor_failures_ = 0;
   switch (why) {
     case CallEnd::kSilent:
-      return Disturb(now, Duration(0));
+      return RequireRefresh(now, Duration(0));
     case CallEnd::kConnectTime:
     case CallEnd::kNoAnswer:
-      return Disturb(now, first ? Duration(0) : next_open_ - now);
+      return RequireRefresh(now, first ? Duration(0) : next_open_ - now);
     case CallEnd::kBroken:
     case CallEnd::kBadAnswer:
     case CallEnd::kNoBase:
     case CallEnd::kStalled:
-      if (TakeHaste(now)) {
+      if (TakeQuickRetry(now)) {
         const Duration quick =
-            std::chrono::duration_cast<Duration>(limits_.drain_grace / 8 * (0.5 + Any()));
-        return Disturb(now, first ? std::min(limits_.apart, limits_.drain_grace / 4) : quick);
+            std::chrono::duration_cast<Duration>(limits_.drain_grace / 8 * (0.5 + RandomUnit()));
+        return RequireRefresh(now, first ? std::min(limits_.apart, limits_.drain_grace / 4) : quick);
       }
       return BackOff(now);
     case CallEnd::kOlderList:
-      // The source is at work, and behind the others or begun anew: more calls in a row change neither.
-      Disturb(now, first ? limits_.drain_grace / 4 : Duration(0));
-      if (!first) next_open_ = now + Gap(now);
+      // The source is working, but lags behind the others or was restarted. More calls in quick succession
+      // do not change that.
+      RequireRefresh(now, first ? limits_.drain_grace / 4 : Duration(0));
+      if (!first) next_open_ = now + NextGap(now);
       return;
     default:
       return BackOff(now);
   }
 }
 
-// A call that still waits has its place in discovery's line; more of them would take that of others.
+// An open call already has a place in discovery's queue. More calls would take places from other routers.
 void ListRefresher::BackOff(Time now) {
-  const Duration again = pacing_.Again(now, Any());
-  Disturb(now, Duration(0));
-  next_open_ = now + (AnyOut() && !limits_.agent ? std::max(again, Gap(now)) : again);
+  const Duration again = pacing_.Again(now, RandomUnit());
+  RequireRefresh(now, Duration(0));
+  next_open_ = now + (AnyCallToTarget() && !limits_.agent ? std::max(again, NextGap(now)) : again);
 }
 
 // ---- Limits ----
 
-Time ListRefresher::LimitOf(const Call& call) const {
-  const Time last = call.opened + call.wait + kPatience * limits_.answer;
+Time ListRefresher::DeadlineOf(const Call& call) const {
+  const Time last = call.opened + call.wait + kMaxWaitFactor * limits_.answer;
   if (!call.connected) return call.opened + ConnectLimit();
   if (!call.first_byte) {
-    return call.wait > Duration(0) ? call.opened + call.wait + limits_.watch_grace + Usual(kMostLate)
-                                   : last;
+    return call.wait > Duration(0)
+               ? call.opened + call.wait + limits_.watch_grace + AnswerTimeUpTo(kMaxWatchLateness)
+               : last;
   }
   Time next = std::min(last, *call.last_byte + limits_.answer);
   if (!call.stall_noted) next = std::min(next, *call.last_byte + StallLimit());
@@ -383,10 +393,10 @@
   CallEnd last = CallEnd::kAnswered;
   const std::vector<Call> before = calls_;
   for (const Call& call : before) {
-    if (LimitOf(call) > now) continue;
+    if (DeadlineOf(call) > now) continue;
     if (call.first_byte) CheckAnswering(now, call.id);
     const Call* still = Find(call.id);
-    if (still == nullptr || LimitOf(*still) > now) continue;
+    if (still == nullptr || DeadlineOf(*still) > now) continue;
     last = !call.connected           ? CallEnd::kConnectTime
            : call.first_byte         ? CallEnd::kStalled
            : call.wait > Duration(0) ? CallEnd::kSilent
@@ -397,36 +407,36 @@
   return last;
 }
 
-// An answer that has begun tells that there may be news. Where it stops, or goes on for long, another call
-// goes out beside it.
+// An answer that has started shows that there may be a change. If it stops, or takes long, another call is
+// opened beside it.
 void ListRefresher::CheckAnswering(Time now, CallId id) {
   Call& call = *Find(id);
   const bool stopped = !call.stall_noted && now - *call.last_byte >= StallLimit();
-  const bool long_at_it = !call.suspect && now - *call.first_byte >= limits_.answer;
-  if (!stopped && !long_at_it) return;
+  const bool takes_long = !call.suspect && now - *call.first_byte >= limits_.answer;
+  if (!stopped && !takes_long) return;
   call.stall_noted = call.stall_noted || stopped;
   const bool first = !std::exchange(call.suspect, true);
   if (!first || call.source != target_) return;
-  if (TakeHaste(now)) {
-    Disturb(now, Duration(0));
-  } else if (!disturbed_) {
-    Disturb(now, Gap(now));
+  if (TakeQuickRetry(now)) {
+    RequireRefresh(now, Duration(0));
+  } else if (!refresh_needed_) {
+    RequireRefresh(now, NextGap(now));
   }
 }
 
 // ---- The state ----
 
 void ListRefresher::Step(Time now, CallEnd why, ListActions& out) {
-  if (following_ && disturbed_ && now >= next_open_) {
-    MakeRoom(out);
+  if (following_ && refresh_needed_ && now >= next_open_) {
+    MakeRoomForCall(out);
     Open(now, target_, false, 0, out);
     ++unanswered_;
-    next_open_ = now + Gap(now);
+    next_open_ = now + NextGap(now);
   }
-  const ListState to = !heard_                     ? ListState::kUnheard
-                       : !disturbed_ && Watching() ? ListState::kFollowing
-                       : AnyOut()                  ? ListState::kRefreshing
-                                                   : ListState::kBackingOff;
+  const ListState to = !last_list_                      ? ListState::kNoList
+                       : !refresh_needed_ && Watching() ? ListState::kFollowing
+                       : AnyCallToTarget()              ? ListState::kRefreshing
+                                                        : ListState::kBackingOff;
   if (to == state_) return;
   out.push_back(StateChanged{state_, to, why});
   state_ = to;
