--- a/src/state/disk_thread.cpp
+++ b/src/state/disk_thread.cpp
@@ -12,28 +12,28 @@
 
 struct DiskThread::Shared {
   std::mutex lock;
-  std::condition_variable put, done;
+  std::condition_variable submitted, done;
   std::deque<std::pair<std::string, Work>> waiting;
-  std::string now;  // the name of what is being done; empty: nothing
+  std::string running;  // the name of the work that is running; empty: none
   SteadyClock::time_point since;
-  std::vector<Call> back;
+  std::vector<Call> completed;
   bool stop = false, ended = false;
 
   void Run() {
     std::unique_lock held(lock);
     for (;;) {
-      put.wait(held, [this] { return stop || !waiting.empty(); });
+      submitted.wait(held, [this] { return stop || !waiting.empty(); });
       if (waiting.empty()) break;
       Work work = std::move(waiting.front().second);
-      now = std::move(waiting.front().first);
+      running = std::move(waiting.front().first);
       waiting.pop_front();
       since = SteadyClock::now();
       held.unlock();
       Call call = work();
       work = nullptr;
       held.lock();
-      now.clear();
-      if (call && !stop) back.push_back(std::move(call));
+      running.clear();
+      if (call && !stop) completed.push_back(std::move(call));
     }
     ended = true;
     done.notify_all();
@@ -49,10 +49,10 @@
   {
     std::unique_lock held(shared_->lock);
     shared_->stop = true;
-    shared_->put.notify_all();
-    ended = shared_->done.wait_for(held, kLast, [this] { return shared_->ended; });
+    shared_->submitted.notify_all();
+    ended = shared_->done.wait_for(held, kShutdownWait, [this] { return shared_->ended; });
   }
-  // Guards against an exit that waits for a dead disk.
+  // Guards against an exit that waits for a disk that does not respond.
   if (ended) {
     thread_.join();
   } else {
@@ -62,37 +62,37 @@
 
 void DiskThread::Put(const std::string& name, Work work) {
   const std::lock_guard held(shared_->lock);
-  for (auto& [waits, old] : shared_->waiting) {
-    if (waits != name) continue;
+  for (auto& [waiting_name, old] : shared_->waiting) {
+    if (waiting_name != name) continue;
     old = std::move(work);
     return;
   }
   shared_->waiting.emplace_back(name, std::move(work));
-  shared_->put.notify_all();
+  shared_->submitted.notify_all();
 }
 
 bool DiskThread::Has(const std::string& name) const {
   const std::lock_guard held(shared_->lock);
-  if (shared_->now == name) return true;
-  for (const auto& [waits, work] : shared_->waiting) {
-    if (waits == name) return true;
+  if (shared_->running == name) return true;
+  for (const auto& [waiting_name, work] : shared_->waiting) {
+    if (waiting_name == name) return true;
   }
   return false;
 }
 
 std::chrono::nanoseconds DiskThread::Stuck() const {
   const std::lock_guard held(shared_->lock);
-  if (shared_->now.empty()) return std::chrono::nanoseconds(0);
+  if (shared_->running.empty()) return std::chrono::nanoseconds(0);
   return SteadyClock::now() - shared_->since;
 }
 
 void DiskThread::Deliver() {
-  std::vector<Call> back;
+  std::vector<Call> completed;
   {
     const std::lock_guard held(shared_->lock);
-    back.swap(shared_->back);
+    completed.swap(shared_->completed);
   }
-  for (const Call& call : back) call();
+  for (const Call& call : completed) call();
 }
 
 bool DiskThread::Await(const std::function<bool()>& done, std::chrono::nanoseconds within) {
--- a/src/state/disk_thread.h
+++ b/src/state/disk_thread.h
@@ -1,9 +1,9 @@
-// A thread for all that touches a disk, so that the loop never waits for one. Work is put in by name; of
-// one name only the last that was put waits, so that a disk that stalls makes nothing grow. What a piece of
-// work has to say comes back as a call for the loop, which the loop fetches when it likes: the thread never
-// calls into it, and needs no descriptor to wake it.
+// A thread for all disk operations, so that the event loop never waits for a disk. Work is submitted under
+// a name. A newer piece of work replaces a waiting one with the same name, so that the queue does not grow
+// while the disk stalls. Each piece of work returns a completion callback, which the loop runs when it
+// calls Deliver: the thread never calls into the loop, and needs no descriptor to wake it.
 //
-// Put, Has, Stuck, Deliver and the destructor belong to one thread, the loop's.
+// All functions, including the destructor, must be called from one thread: the loop's.
 #ifndef BRASSWOOD_STATE_DISK_THREAD_H_
 #define BRASSWOOD_STATE_DISK_THREAD_H_
 
@@ -18,28 +18,29 @@
 class DiskThread {
  public:
   using Call = std::function<void()>;
-  // Runs on the thread, and owns all that it touches: it may outlive whoever put it in. What it returns
-  // (it may be empty) runs on the loop, in Deliver.
+  // Runs on the disk thread. It must own everything that it accesses, because it may outlive the code that
+  // submitted it. The callback that it returns (may be empty) runs on the loop's thread, in Deliver.
   using Work = std::function<Call()>;
 
   DiskThread();
-  // Waits `kLast` for what was put in; a disk that does not answer by then is left to itself.
+  // Waits at most kShutdownWait for the submitted work. If the disk has not responded by then, the thread
+  // is detached.
   ~DiskThread();
   DiskThread(const DiskThread&) = delete;
   DiskThread& operator=(const DiskThread&) = delete;
 
   void Put(const std::string& name, Work work);
-  // Does work of that name wait, or is it being done?
+  // Whether work with that name is waiting or running.
   bool Has(const std::string& name) const;
-  // For how long the present piece of work has been going on; 0: none is.
+  // How long the current piece of work has been running; 0: none is.
   std::chrono::nanoseconds Stuck() const;
-  // Runs what has come back.
+  // Runs the callbacks of work that has completed.
   void Deliver();
-  // The same until `done` or `within` has passed; for a start, before anything is served. False: it is not
-  // done.
+  // Blocks and runs callbacks until `done` returns true or `within` has passed. For use at the start,
+  // before requests are served. Returns the last result of `done`.
   bool Await(const std::function<bool()>& done, std::chrono::nanoseconds within);
 
-  static constexpr std::chrono::milliseconds kLast{200};
+  static constexpr std::chrono::milliseconds kShutdownWait{200};
 
  private:
   struct Shared;
