--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -16,15 +16,15 @@
 namespace brasswood {
 namespace {
 
-constexpr std::chrono::milliseconds kReadWithin{500};
+constexpr std::chrono::milliseconds kReadTimeout{500};
 
-struct Found {
+struct FoundSnapshot {
   std::optional<Snapshot> snapshot;
-  std::string why;  // what was wrong with those that were left aside
+  std::string why;  // why files were not used
 };
 
-Found Find(const std::string& path, const std::string& router) {
-  Found found;
+FoundSnapshot FindSnapshot(const std::string& path, const std::string& router) {
+  FoundSnapshot found;
   for (const std::string& name : {path, path + ".1"}) {
     std::string why;
     const auto text = ReadWhole(name, kMostSnapshot, why);
@@ -49,10 +49,10 @@
   const auto* state = FindField(d, "state");
   if (state == nullptr || !state->IsObject()) throw bad("\"state\" is missing or not an object");
   StateSettings s;
-  const auto number = [&](const rapidjson::Value& v, const std::string& key, double least, double most) {
-    if (!v.IsNumber() || !(v.GetDouble() >= least) || !(v.GetDouble() <= most)) {
-      throw bad("\"" + key + "\" is not a number from " + std::to_string(static_cast<long long>(least)) +
-                " to " + std::to_string(static_cast<long long>(most)));
+  const auto number = [&](const rapidjson::Value& v, const std::string& key, double min, double max) {
+    if (!v.IsNumber() || !(v.GetDouble() >= min) || !(v.GetDouble() <= max)) {
+      throw bad("\"" + key + "\" is not a number from " + std::to_string(static_cast<long long>(min)) +
+                " to " + std::to_string(static_cast<long long>(max)));
     }
     return v.GetDouble();
   };
@@ -96,23 +96,23 @@
       now_(std::move(now)) {}
 
 std::optional<Snapshot> Keeper::Read() {
-  auto found = std::make_shared<std::optional<Found>>();
+  auto found = std::make_shared<std::optional<FoundSnapshot>>();
   disk_.Put("read", [found, path = Path(), router = router_]() -> DiskThread::Call {
-    auto here = std::make_shared<Found>(Find(path, router));
+    auto here = std::make_shared<FoundSnapshot>(FindSnapshot(path, router));
     return [found, here] { *found = std::move(*here); };
   });
-  if (!disk_.Await([&] { return found->has_value(); }, kReadWithin)) {
+  if (!disk_.Await([&] { return found->has_value(); }, kReadTimeout)) {
     LogLine(Level::kWarn) << "kept state not read: the disk does not answer";
     return std::nullopt;
   }
-  Found& f = **found;
+  FoundSnapshot& f = **found;
   if (!f.why.empty()) LogLine(Level::kWarn) << "kept state left aside: " << f.why;
   if (!f.snapshot) return std::nullopt;
   const Duration age = now_() - f.snapshot->taken;
   if (Faith(age, settings_.half, settings_.most) <= 0) {
     LogLine(Level::kWarn) << "kept state left aside: "
                           << (age < Duration(0) ? "taken in the future" : "too old");
-    // Bans have no age: only an operator's word ends one.
+    // Suspensions do not expire: only an operator can end one.
     f.snapshot->list = {};
     f.snapshot->learnt = {};
   }
@@ -132,7 +132,7 @@
   Begin();
   disk_.Deliver();
   if (!disk_.Has("snapshot")) return Take();
-  if (!std::exchange(complained_, true)) {
+  if (!std::exchange(failure_logged_, true)) {
     LogLine(Level::kWarn) << "state not kept: the disk does not answer";
   }
 }
@@ -142,15 +142,15 @@
   auto snapshot = std::make_shared<Snapshot>(engine_.Keep(settings_.keys));
   snapshot->router = router_;
   snapshot->taken = now_();
-  // Putting it into words is the thread's work, too.
+  // Encoding is done on the disk thread too.
   disk_.Put("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Call {
     std::string why;
-    std::rename(path.c_str(), (path + ".1").c_str());  // there may be none yet
+    std::rename(path.c_str(), (path + ".1").c_str());  // fails if there is none yet
     const bool ok = WriteWhole(path, Encode(*snapshot), why);
-    // Said once when it begins to fail, and once when it works again.
+    // Logged once when writing starts to fail, and once when it works again.
     return [this, ok, why] {
-      if (ok && std::exchange(complained_, false)) LogLine(Level::kInfo) << "state is kept again";
-      if (!ok && !std::exchange(complained_, true)) LogLine(Level::kWarn) << "state not kept: " << why;
+      if (ok && std::exchange(failure_logged_, false)) LogLine(Level::kInfo) << "state is kept again";
+      if (!ok && !std::exchange(failure_logged_, true)) LogLine(Level::kWarn) << "state not kept: " << why;
     };
   });
 }
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -1,6 +1,6 @@
-// When a router's state is kept, and where: a snapshot every few seconds and at the end, written by the
-// disk's thread, two generations; and the one read at the start. Only for installations that have a disk of
-// their own: $BRASSWOOD_STATE names a file that says where. deploy/state.json is the example.
+// Persists a router's state: writes a snapshot every few seconds and at shutdown, on the disk thread and in
+// two generations, and reads one at the start. Used only by installations with a local disk:
+// $BRASSWOOD_STATE names the settings file, which says where. deploy/state.json is an example.
 #ifndef BRASSWOOD_STATE_KEEPER_H_
 #define BRASSWOOD_STATE_KEEPER_H_
 
@@ -18,33 +18,33 @@
 namespace brasswood {
 
 struct StateSettings {
-  std::string folder;  // must be there
+  std::string folder;  // must exist
   Duration every{std::chrono::seconds(5)};
-  std::size_t keys = 8192;                 // the most recently used ones
-  Duration half{std::chrono::minutes(5)};  // what was learnt so long ago counts half
-  Duration most{std::chrono::hours(1)};    // and past this not at all
-  Duration old{std::chrono::seconds(30)};  // a list older than this is tried carefully
+  std::size_t keys = 8192;                 // stored at most, the most recently used ones
+  Duration half{std::chrono::minutes(5)};  // half-life of the confidence in what was learnt
+  Duration most{std::chrono::hours(1)};    // of an older snapshot only the suspensions are used
+  Duration old{std::chrono::seconds(30)};  // servers of an older list may have been replaced
 };
 
-// From the file's text; throws std::runtime_error with one plain line.
+// Parses the text of the settings file. Throws std::runtime_error with a message of one line.
 StateSettings ReadStateSettings(std::string_view json);
-// From the file that $BRASSWOOD_STATE names; nothing where it is not set.
+// Reads the file that $BRASSWOOD_STATE names. Returns nothing if the variable is not set.
 std::optional<StateSettings> LoadStateSettings();
 
 class Keeper {
  public:
-  // `router`: its name. References outlive the keeper.
+  // `router`: the router's name. The references must outlive the keeper.
   Keeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
          std::function<Time()> now);
 
-  // What an earlier process left, if it is this router's and sound: the newest of two generations. Waits
-  // for the disk, half a second at most. One log line says what became of it.
+  // Reads the newest valid snapshot of this router out of two generations, if there is one. Blocks for the
+  // disk, half a second at most, and logs the result.
   std::optional<Snapshot> Read();
   const StateSettings& settings() const { return settings_; }
-  // Takes a snapshot each `every` from now on, once discovery has confirmed the list: what was kept before
-  // is not overwritten by a process that knows less.
+  // Writes a snapshot each `every` from now on, once discovery has confirmed the list, so that a process
+  // that knows less does not overwrite the earlier snapshot.
   void Begin();
-  // And one more, now.
+  // Writes a snapshot now.
   void Take();
 
  private:
@@ -56,7 +56,7 @@
   Engine& engine_;
   Deadlines& deadlines_;
   std::function<Time()> now_;
-  bool complained_ = false;
+  bool failure_logged_ = false;
   DiskThread disk_;
 };
 
