--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -26,7 +26,8 @@
   return line;
 }
 
-// Reads fields of an array by place; `ok` falls, and stays, where one is not as it should be.
+// Reads fields of a JSON array by index. Sets `ok` to false, for good, if one is missing or has a wrong
+// type.
 struct Row {
   const Value& row;
   bool& ok;
@@ -39,7 +40,7 @@
     if (v == nullptr || !v->IsNumber() || !std::isfinite(v->GetDouble())) ok = false;
     return ok ? v->GetDouble() : 0;
   }
-  std::int64_t Whole(rapidjson::SizeType i) {
+  std::int64_t Integer(rapidjson::SizeType i) {
     const Value* v = At(i);
     if (v == nullptr || !v->IsInt64()) ok = false;
     return ok ? v->GetInt64() : 0;
@@ -131,14 +132,14 @@
     ServerEntry e;
     e.uid = r.Text(0);
     e.endpoint = r.Text(1);
-    e.zone = static_cast<int>(r.Whole(2));
-    e.kind = static_cast<int>(r.Whole(3));
-    e.cell = static_cast<int>(r.Whole(4));
-    const std::int64_t availability = r.Whole(5);
+    e.zone = static_cast<int>(r.Integer(2));
+    e.kind = static_cast<int>(r.Integer(3));
+    e.cell = static_cast<int>(r.Integer(4));
+    const std::int64_t availability = r.Integer(5);
     ok = ok && availability >= 0 && availability <= static_cast<int>(Availability::kRemoved);
     e.availability = static_cast<Availability>(availability);
     e.scale = r.Number(6);
-    e.started = Time(r.Whole(7));
+    e.started = Time(r.Integer(7));
     s.list.entries.push_back(std::move(e));
   }
   const std::size_t servers = s.list.entries.size();
@@ -149,11 +150,11 @@
   for (const Value& v : d["servers"].GetArray()) {
     Row r{v, ok};
     Kept::Server k;
-    k.id = static_cast<beechledge::ServerId>(r.Whole(0));
+    k.id = static_cast<beechledge::ServerId>(r.Integer(0));
     k.looks = r.Number(1);
     k.log_time = r.Number(2);
     k.log_weight = r.Number(3);
-    k.avoid = Duration(r.Whole(4));
+    k.avoid = Duration(r.Integer(4));
     ok = ok && k.id < servers;
     s.learnt.servers.push_back(k);
   }
@@ -173,10 +174,10 @@
   return s;
 }
 
-double Faith(Duration age, Duration half, Duration most) {
-  if (age < Duration(0) || age > most) return 0;
+double Faith(Duration age, Duration half_life, Duration max_age) {
+  if (age < Duration(0) || age > max_age) return 0;
   return std::exp2(-std::chrono::duration<double>(age).count() /
-                   std::chrono::duration<double>(half).count());
+                   std::chrono::duration<double>(half_life).count());
 }
 
 }  // namespace brasswood
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,9 +1,9 @@
-// What a router keeps over a restart where it has a disk: the server list with its version, the operators'
-// bans, and what the module had learnt. Pure: the text form here, when and where it is written in
-// state/keeper.
+// The state that a router with a disk preserves over a restart: the server list with its version, the
+// servers that operators suspended, and what the decision module has learnt. This file only encodes and
+// decodes it; state/keeper.h decides when and where it is written.
 //
-// The first line names the layout, its version, the body's size and its checksum (CRC-32); the body is
-// JSON.
+// The first line contains the format's name and version, and the size and checksum (CRC-32) of the body.
+// The body is JSON.
 #ifndef BRASSWOOD_STATE_SNAPSHOT_H_
 #define BRASSWOOD_STATE_SNAPSHOT_H_
 
@@ -20,24 +20,25 @@
 namespace brasswood {
 
 struct Snapshot {
-  std::string router;  // whose it is
+  std::string router;  // the name of the router that wrote it
   Time taken{0};       // Unix time
-  ServerList list;     // as discovery last told it, whole
+  ServerList list;     // the whole list as last received from discovery
   std::set<std::string> suspended;
-  // Servers in it are places in list.entries.
+  // Server ids in it are indexes into list.entries.
   beechledge::Kept learnt;
 };
 
 constexpr int kSnapshotLayout = 1;
-constexpr std::size_t kMostSnapshot = 16 << 20;  // bytes; what is larger is not ours
+constexpr std::size_t kMostSnapshot = 16 << 20;  // bytes; a larger file is not a snapshot of ours
 
 std::string Encode(const Snapshot& snapshot);
-// Nothing, and why: torn, of another layout, or not sound. Never throws, whatever the text.
+// Returns nothing, and sets `why`, if the text is truncated, has another layout or is invalid. Never
+// throws, whatever the text.
 std::optional<Snapshot> DecodeSnapshot(std::string_view text, std::string& why);
 
-// How far what was learnt `age` ago is believed, 1 to 0: half of it after `half`, nothing from the future
-// or older than `most`.
-double Faith(Duration age, Duration half, Duration most);
+// The confidence, from 1 to 0, in what was learnt `age` ago: it halves with each `half_life`, and is 0 if
+// `age` is negative (the snapshot is from the future) or over `max_age`.
+double Faith(Duration age, Duration half_life, Duration max_age);
 
 }  // namespace brasswood
 
