--- a/src/state/whole_file.cpp
+++ b/src/state/whole_file.cpp
@@ -38,21 +38,21 @@
 }  // namespace
 
 bool WriteWhole(const std::string& path, std::string_view content, std::string& why) {
-  const std::string side = path + "." + std::to_string(::getpid()) + ".new";
+  const std::string temporary = path + "." + std::to_string(::getpid()) + ".new";
   const auto failed = [&](const std::string& at) {
     why = at + ": " + std::strerror(errno);
-    ::unlink(side.c_str());
+    ::unlink(temporary.c_str());
     return false;
   };
-  File file(::open(side.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
-  if (file.get() < 0) return failed(side);
-  // A full disk may say so at any of these, the close among them.
-  if (!WriteAll(file.get(), content) || ::fsync(file.get()) != 0 || !file.Close()) return failed(side);
-  if (::rename(side.c_str(), path.c_str()) != 0) return failed(path);
+  File file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+  if (file.get() < 0) return failed(temporary);
+  // A full disk may be reported by any of these calls, including close.
+  if (!WriteAll(file.get(), content) || ::fsync(file.get()) != 0 || !file.Close()) return failed(temporary);
+  if (::rename(temporary.c_str(), path.c_str()) != 0) return failed(path);
   return true;
 }
 
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t most, std::string& why) {
+std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes, std::string& why) {
   why.clear();
   File file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
@@ -70,7 +70,7 @@
     }
     if (n == 0) return text;
     text.append(buffer, static_cast<std::size_t>(n));
-    if (text.size() <= most) continue;
+    if (text.size() <= max_bytes) continue;
     why = path + ": too large";
     return std::nullopt;
   }
--- a/src/state/whole_file.h
+++ b/src/state/whole_file.h
@@ -1,5 +1,6 @@
-// Files that are whole or not there: written to a side file, synced, and renamed into place. For the disk's
-// thread; each call may take as long as the disk does.
+// Atomic file writes: the content is written to a temporary file, synced and renamed into place, so that a
+// reader never sees a partial file. These functions block for as long as the disk takes: call them on the
+// disk thread (state/disk_thread.h).
 #ifndef BRASSWOOD_STATE_WHOLE_FILE_H_
 #define BRASSWOOD_STATE_WHOLE_FILE_H_
 
@@ -10,12 +11,13 @@
 
 namespace brasswood {
 
-// False: the file is as it was before, and `why` says why. The side file is path + "." + process id +
-// ".new".
+// Replaces the file's content. On failure returns false and sets `why`; the file is unchanged. The
+// temporary file is path + "." + process id + ".new".
 bool WriteWhole(const std::string& path, std::string_view content, std::string& why);
 
-// At most `most` bytes. Nothing: there is no such file (`why` empty), or it cannot be read or is larger.
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t most, std::string& why);
+// Reads a file of at most `max_bytes`. Returns nothing if there is no such file (`why` is empty), or if it
+// cannot be read or is larger (`why` says which).
+std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes, std::string& why);
 
 }  // namespace brasswood
 
