--- a/lab/explore/list_caller.cpp
+++ b/lab/explore/list_caller.cpp
@@ -9,22 +9,22 @@
 class Refresher : public ListCaller {
  public:
   explicit Refresher(const CallerPlan& plan)
-      : machine_(plan.limits, beechledge::ListCalls(plan.settings), 1, plan.seed) {}
-  void Follow(Time now, ListActions& out) override { machine_.Follow(now, out); }
-  void Move(Time now, SourceId to, ListActions& out) override { machine_.Move(now, to, out); }
-  void Connected(Time now, CallId id) override { machine_.Connected(now, id); }
-  void Progress(Time now, CallId id) override { machine_.Progress(now, id); }
+      : refresher_(plan.limits, beechledge::ListCalls(plan.settings), 1, plan.seed) {}
+  void Follow(Time now, ListActions& out) override { refresher_.Follow(now, out); }
+  void Move(Time now, SourceId to, ListActions& out) override { refresher_.Move(now, to, out); }
+  void Connected(Time now, CallId id) override { refresher_.Connected(now, id); }
+  void Progress(Time now, CallId id) override { refresher_.Progress(now, id); }
   void Answered(Time now, CallId id, std::int64_t version, ListActions& out) override {
-    machine_.Answered(now, id, version, out);
+    refresher_.Answered(now, id, version, out);
   }
   void Failed(Time now, CallId id, CallEnd why, ListActions& out) override {
-    machine_.Failed(now, id, why, out);
+    refresher_.Failed(now, id, why, out);
   }
-  void Wake(Time now, ListActions& out) override { machine_.Wake(now, out); }
-  Time Next() const override { return machine_.Next(); }
+  void Wake(Time now, ListActions& out) override { refresher_.Wake(now, out); }
+  Time Next() const override { return refresher_.Next(); }
 
  private:
-  ListRefresher machine_;
+  ListRefresher refresher_;
 };
 
 class Chained : public ListCaller {
@@ -40,12 +40,12 @@
     Open(now, out);
   }
   void Connected(Time now, CallId id) override {
-    if (id == call_) due_ = now + (waits_ ? limits_.watch + limits_.watch_grace : limits_.answer);
+    if (id == call_) deadline_ = now + (watching_ ? limits_.watch + limits_.watch_grace : limits_.answer);
   }
   void Progress(Time now, CallId id) override {
-    if (id != call_ || begun_) return;
-    begun_ = true;
-    due_ = now + limits_.answer;
+    if (id != call_ || answer_begun_) return;
+    answer_begun_ = true;
+    deadline_ = now + limits_.answer;
   }
   void Answered(Time now, CallId id, std::int64_t version, ListActions& out) override {
     if (id != call_) return;
@@ -54,27 +54,27 @@
     Open(now, out);
   }
   void Failed(Time now, CallId id, CallEnd, ListActions&) override {
-    if (id == call_) GiveUp(now);
+    if (id == call_) FailCall(now);
   }
   void Wake(Time now, ListActions& out) override {
-    if (now < due_) return;
+    if (now < deadline_) return;
     if (call_ == 0) return Open(now, out);
     out.push_back(CloseCall{call_, CallEnd::kNoAnswer});
-    GiveUp(now);
+    FailCall(now);
   }
-  Time Next() const override { return due_; }
+  Time Next() const override { return deadline_; }
 
  private:
   void Open(Time now, ListActions& out) {
-    waits_ = held_.has_value();
-    begun_ = false;
+    watching_ = held_.has_value();
+    answer_begun_ = false;
     call_ = ++last_;
-    due_ = now + limits_.connect;
-    out.push_back(OpenCall{call_, source_, held_, waits_ ? limits_.watch : Duration(0), 0});
+    deadline_ = now + limits_.connect;
+    out.push_back(OpenCall{call_, source_, held_, watching_ ? limits_.watch : Duration(0), 0});
   }
-  void GiveUp(Time now) {
+  void FailCall(Time now) {
     call_ = 0;
-    due_ = now + pacing_.Again(now, std::uniform_real_distribution<double>(0, 1)(random_));
+    deadline_ = now + pacing_.Again(now, std::uniform_real_distribution<double>(0, 1)(random_));
   }
 
   RefreshLimits limits_;
@@ -83,8 +83,8 @@
   std::optional<std::int64_t> held_ = 1;
   SourceId source_ = 0;
   CallId call_ = 0, last_ = 0;
-  bool waits_ = false, begun_ = false;
-  Time due_{Time::max()};
+  bool watching_ = false, answer_begun_ = false;
+  Time deadline_{Time::max()};
 };
 
 }  // namespace
--- a/lab/explore/list_caller.h
+++ b/lab/explore/list_caller.h
@@ -1,5 +1,5 @@
-// What the exploration plays: a machine that decides on calls to discovery. The router's own, and one built
-// wrong on purpose, which the exploration has to catch.
+// The interface of the state machines under exploration, which decide on calls to discovery: the router's
+// own, and one with a deliberate fault that the exploration has to find.
 #ifndef BRASSWOOD_LAB_EXPLORE_LIST_CALLER_H_
 #define BRASSWOOD_LAB_EXPLORE_LIST_CALLER_H_
 
@@ -28,11 +28,11 @@
   std::uint64_t seed = 0;
 };
 
-// The router's own.
+// The router's own state machine, ListRefresher.
 std::unique_ptr<ListCaller> MakeRefresher(const CallerPlan& plan);
 
-// One call at a time: it is given up when a fixed time is over, closed before the next one opens, and the
-// next one waits as after a refusal. Each time-out is reasonable, and their sum is bounded by nothing.
+// The faulty one: it has one call open at a time, closes it after a fixed timeout, and waits as after a
+// refusal before the next one. Each timeout is reasonable by itself, but their sum is unbounded.
 std::unique_ptr<ListCaller> MakeChained(const CallerPlan& plan);
 
 }  // namespace brasswood::lab
--- a/lab/explore/list_press.cpp
+++ b/lab/explore/list_press.cpp
@@ -15,13 +15,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kLongest = std::chrono::seconds(60);
-constexpr Duration kFollowedFor = std::chrono::seconds(5);  // before the new configuration
-constexpr Duration kOnTheWay = milliseconds(1);
+constexpr Duration kMaxLength = std::chrono::seconds(60);
+constexpr Duration kFollowedFor = std::chrono::seconds(5);  // before the first new configuration
+constexpr Duration kLatency = milliseconds(1);
 
-class Press {
+class DiscoveryLoad {
  public:
-  Press(const PressPlan& plan, const MakeCaller& make) : plan_(plan) {
+  DiscoveryLoad(const DiscoveryLoadPlan& plan, const MakeCaller& make) : plan_(plan) {
     Rng rng = MakeRng(Mix(plan.seed * 197), Stream::kFaults);
     for (int r = 0; r < plan.routers; ++r) {
       const double phase = Unit(rng);
@@ -45,28 +45,29 @@
     }
   }
 
-  PressFigures Play() {
-    for (int n = 0; n < plan_.configurations; ++n) Reconfigure(kFollowedFor + n * plan_.apart, n + 1);
-    At(kFollowedFor + kNewsAfter, [this] { News(); });
-    while ((version_ < 2 || Behind() > 0) && time_.PlayNext(kLongest)) {
+  DiscoveryLoadFigures Run() {
+    for (int n = 0; n < plan_.configurations; ++n) Reconfigure(kFollowedFor + n * plan_.interval, n + 1);
+    At(kFollowedFor + kChangeAfter, [this] { Change(); });
+    while ((version_ < 2 || RoutersBehind() > 0) && time_.PlayNext(kMaxLength)) {
     }
-    if (version_ == 2 && Behind() == 0) figures_.news_heard = time_.now() - kFollowedFor - kNewsAfter;
+    if (version_ == 2 && RoutersBehind() == 0)
+      figures_.change_received = time_.now() - kFollowedFor - kChangeAfter;
     const double seconds = std::chrono::duration<double>(time_.now() - kFollowedFor).count();
-    figures_.calls_a_second = opened_ / seconds / plan_.routers;
+    figures_.calls_per_second = opened_ / seconds / plan_.routers;
     return figures_;
   }
 
  private:
   struct Router {
     std::unique_ptr<CallerDriver> driver;
-    SourceId source = 0;  // that its configuration names
+    SourceId source = 0;  // the one that its configuration names
     struct Call {
       SourceId source = 0;
-      bool waits = false;   // for news, once it has been served
-      bool served = false;  // and does so now
+      bool waits = false;   // a watch: waits for a change once it was served
+      bool served = false;  // it was served and waits for a change
     };
-    std::map<CallId, Call> calls;  // out
-    int held = 0;                  // version
+    std::map<CallId, Call> calls;  // open
+    int held = 0;                  // the version held
   };
 
   void Reconfigure(Time at, SourceId to) {
@@ -74,41 +75,42 @@
       At(at, [this, r, to] {
         routers_[r]->source = to;
         routers_[r]->held = 0;
-        Act(r, [&](ListCaller& caller, ListActions& out) { caller.Move(time_.now(), to, out); });
+        Dispatch(r, [&](ListCaller& caller, ListActions& out) { caller.Move(time_.now(), to, out); });
       });
     }
     last_configuration_ = at;
   }
-  std::size_t Behind() const {
+  std::size_t RoutersBehind() const {
     return static_cast<std::size_t>(std::count_if(routers_.begin(), routers_.end(),
                                                   [this](const auto& r) { return r->held < version_; }));
   }
   void At(Time at, std::function<void()> run) { time_.At(at, std::move(run)); }
-  void Act(std::size_t r, const CallerDriver::Fact& fact) { routers_[r]->driver->Tell(fact); }
+  void Dispatch(std::size_t r, const CallerDriver::Event& event) { routers_[r]->driver->Handle(event); }
   void Open(std::size_t r, const OpenCall& open) {
     ++opened_;
     routers_[r]->calls[open.id] = {open.source, open.wait > Duration(0), false};
-    At(time_.now() + kOnTheWay, [this, r, id = open.id, wait = open.wait] {
+    At(time_.now() + kLatency, [this, r, id = open.id, wait = open.wait] {
       if (routers_[r]->calls.contains(id)) {
-        Act(r, [&](ListCaller& caller, ListActions&) { caller.Connected(time_.now(), id); });
+        Dispatch(r, [&](ListCaller& caller, ListActions&) { caller.Connected(time_.now(), id); });
       }
-      if (plan_.longest_line > Duration(0) && free_ - time_.now() > plan_.longest_line)
+      if (plan_.max_queue_time > Duration(0) && free_at_ - time_.now() > plan_.max_queue_time)
         return Refuse(r, id);
-      free_ = std::max(free_, time_.now()) + plan_.each;  // in turn, whoever closes meanwhile
-      At(free_, [this, r, id, wait] { Serve(r, id, wait); });
+      free_at_ =
+          std::max(free_at_, time_.now()) + plan_.call_time;  // calls are served in order, closed ones too
+      At(free_at_, [this, r, id, wait] { Serve(r, id, wait); });
     });
   }
   void Refuse(std::size_t r, CallId id) {
     ++figures_.refused;
-    free_ = std::max(free_, time_.now()) +
-            std::chrono::duration_cast<Duration>(plan_.each * plan_.refusal_cost);
+    free_at_ = std::max(free_at_, time_.now()) +
+               std::chrono::duration_cast<Duration>(plan_.call_time * plan_.refusal_cost);
     std::vector<CallId> ended = {id};
     for (const auto& [other, call] : routers_[r]->calls) {
-      if (plan_.one_call_each && other != id && !call.served) ended.push_back(other);
+      if (plan_.refusal_ends_waiting_calls && other != id && !call.served) ended.push_back(other);
     }
     for (const CallId each : ended) {
       if (routers_[r]->calls.erase(each) == 0) continue;
-      Act(r, [&](ListCaller& caller, ListActions& out) {
+      Dispatch(r, [&](ListCaller& caller, ListActions& out) {
         caller.Failed(time_.now(), each, CallEnd::kRefused, out);
       });
     }
@@ -117,11 +119,11 @@
     ++figures_.calls;
     const auto call = routers_[r]->calls.find(id);
     if (call == routers_[r]->calls.end()) {
-      ++figures_.forsaken;
+      ++figures_.abandoned;
       return;
     }
-    const bool passed = call->second.source != 0 && call->second.source != routers_[r]->source;
-    if (plan_.passing_deaf && passed) return;
+    const bool old_address = call->second.source != 0 && call->second.source != routers_[r]->source;
+    if (plan_.old_addresses_silent && old_address) return;
     if (!call->second.waits || routers_[r]->held < version_) return Answer(r, id);
     call->second.served = true;
     At(time_.now() + wait, [this, r, id] { Answer(r, id); });
@@ -131,12 +133,13 @@
     if (call == routers_[r]->calls.end()) return;
     routers_[r]->held = version_;
     routers_[r]->calls.erase(call);
-    if (version_ == 1 && figures_.all_heard < Duration(0) && Behind() == 0) {
-      figures_.all_heard = time_.now() - last_configuration_;
+    if (version_ == 1 && figures_.all_received < Duration(0) && RoutersBehind() == 0) {
+      figures_.all_received = time_.now() - last_configuration_;
     }
-    Act(r, [&](ListCaller& caller, ListActions& out) { caller.Answered(time_.now(), id, version_, out); });
+    Dispatch(
+        r, [&](ListCaller& caller, ListActions& out) { caller.Answered(time_.now(), id, version_, out); });
   }
-  void News() {
+  void Change() {
     ++version_;
     for (std::size_t r = 0; r < routers_.size(); ++r) {
       std::vector<CallId> waiting;
@@ -147,33 +150,33 @@
     }
   }
 
-  const PressPlan plan_;
+  const DiscoveryLoadPlan plan_;
   VirtualTime time_;
-  Time free_{0};
+  Time free_at_{0};
   Time last_configuration_{0};
   std::vector<std::unique_ptr<Router>> routers_;
   int opened_ = 0, version_ = 1;
-  PressFigures figures_;
+  DiscoveryLoadFigures figures_;
 };
 
 }  // namespace
 
-PressFigures MeasurePress(const PressPlan& plan, const MakeCaller& make) {
-  return Press(plan, make).Play();
+DiscoveryLoadFigures MeasureDiscoveryLoad(const DiscoveryLoadPlan& plan, const MakeCaller& make) {
+  return DiscoveryLoad(plan, make).Run();
 }
 
 void PrintPress(std::uint64_t seed, std::ostream& out) {
-  const std::pair<const char*, MakeCaller> machines[] = {{"refresher", MakeRefresher},
-                                                         {"chained", MakeChained}};
-  // -1e-09 stands for never.
+  const std::pair<const char*, MakeCaller> state_machines[] = {{"refresher", MakeRefresher},
+                                                               {"chained", MakeChained}};
+  // -1e-09 means that it did not happen.
   out << "machine routers each_ms all_heard_s calls forsaken calls_each_s news_heard_s\n";
-  for (const auto& [name, make] : machines) {
+  for (const auto& [name, make] : state_machines) {
     for (const int routers : {6, 30, 300}) {
       for (const int each : {1, 10, 50}) {
-        const PressFigures f = MeasurePress({routers, milliseconds(each), seed}, make);
+        const DiscoveryLoadFigures f = MeasureDiscoveryLoad({routers, milliseconds(each), seed}, make);
         out << name << ' ' << routers << ' ' << each << ' '
-            << std::chrono::duration<double>(f.all_heard).count() << ' ' << f.calls << ' ' << f.forsaken
-            << ' ' << f.calls_a_second << ' ' << std::chrono::duration<double>(f.news_heard).count()
+            << std::chrono::duration<double>(f.all_received).count() << ' ' << f.calls << ' ' << f.abandoned
+            << ' ' << f.calls_per_second << ' ' << std::chrono::duration<double>(f.change_received).count()
             << '\n';
       }
     }
--- a/lab/explore/list_press.h
+++ b/lab/explore/list_press.h
@@ -1,4 +1,5 @@
-// How a fleet presses on a discovery that serves calls in turn, forsaken ones too, in virtual time.
+// Measures, in virtual time, the load that a fleet puts on a discovery that serves calls one after the
+// other, including calls that their routers have closed meanwhile.
 #ifndef BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
 #define BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
 
@@ -6,34 +7,36 @@
 
 namespace brasswood::lab {
 
-struct PressPlan {
+struct DiscoveryLoadPlan {
   int routers = 30;
-  Duration each{0};  // discovery takes for a call
+  Duration call_time{0};  // the time discovery takes for a call
   std::uint64_t seed = 1;
-  Duration longest_line{0};    // a call that would wait longer is refused at once; 0: none is
-  double refusal_cost = 0;     // of a call that is refused, as part of what a call costs discovery
-  bool one_call_each = false;  // a refusal ends all of its router's calls that wait in the line
-  bool passing_deaf = false;   // calls to addresses that are named no more get no answer
-  int configurations = 1;      // given to each router, each naming another address of the same service
-  Duration apart{0};           // from one of them to the next
+  Duration max_queue_time{0};  // a call that would wait longer is refused at once; 0: none is
+  double refusal_cost = 0;     // the time for refusing a call, as a fraction of `call_time`
+  // A refusal also fails its router's calls that wait in the queue.
+  bool refusal_ends_waiting_calls = false;
+  bool old_addresses_silent = false;  // calls to addresses configured earlier get no answer
+  int configurations = 1;  // given to each router; each names another address of the same service
+  Duration interval{0};    // between two configurations
 };
 
-constexpr Duration kNewsAfter = std::chrono::seconds(20);
+// From the first configuration to the change.
+constexpr Duration kChangeAfter = std::chrono::seconds(20);
 
-struct PressFigures {
-  Duration all_heard{
-      -1};  // from the last new configuration until every router had its list; below 0: not all did
-  int calls = 0, forsaken = 0;  // served in all, and of those for routers that had closed them
+struct DiscoveryLoadFigures {
+  // From the last configuration until every router has received a list; below 0: not all did.
+  Duration all_received{-1};
+  int calls = 0, abandoned = 0;  // calls served, and those of them that their routers had closed
   int refused = 0;
-  double calls_a_second = 0;  // of one router, in the mean over the run
-  Duration news_heard{
-      -1};  // from a change kNewsAfter later until every router had it; below 0: not all did
+  double calls_per_second = 0;  // of one router, the mean over the run
+  // From the change until every router has received it; below 0: not all did.
+  Duration change_received{-1};
 };
 
-// All routers are given new configurations at once, and their calls come to one discovery.
-PressFigures MeasurePress(const PressPlan& plan, const MakeCaller& make);
+// All routers get new configurations at the same time, and one discovery serves their calls.
+DiscoveryLoadFigures MeasureDiscoveryLoad(const DiscoveryLoadPlan& plan, const MakeCaller& make);
 
-// The figures of both machines for fleets of 6, 30 and 300 routers and 1, 10 and 50 ms a call.
+// Prints the results of both state machines for fleets of 6, 30 and 300 routers and 1, 10 and 50 ms a call.
 void PrintPress(std::uint64_t seed, std::ostream& out);
 
 }  // namespace brasswood::lab
--- a/lab/explore/virtual_time.h
+++ b/lab/explore/virtual_time.h
@@ -1,4 +1,4 @@
-// Virtual time for the explorations, and a machine that decides on calls to discovery, driven by it.
+// Virtual time for the explorations, and a driver that runs a ListCaller in it.
 #ifndef BRASSWOOD_LAB_EXPLORE_VIRTUAL_TIME_H_
 #define BRASSWOOD_LAB_EXPLORE_VIRTUAL_TIME_H_
 
@@ -12,12 +12,14 @@
 
 namespace brasswood::lab {
 
-// Events in the order of their times, those of one moment in the order in which they were set.
+// Runs events in the order of their times. Events of the same time run in the order in which they were set.
 class VirtualTime {
  public:
   Time now() const { return now_; }
-  void At(Time at, std::function<void()> run) { events_.emplace(std::pair(at, ++last_), std::move(run)); }
-  // Plays the next event; false where there is none before `end`.
+  void At(Time at, std::function<void()> run) {
+    events_.emplace(std::pair(at, ++last_sequence_), std::move(run));
+  }
+  // Runs the next event. Returns false if there is none before `end`.
   bool PlayNext(Time end) {
     if (events_.empty() || events_.begin()->first.first >= end) return false;
     now_ = events_.begin()->first.first;
@@ -30,26 +32,26 @@
  private:
   Time now_{0};
   std::map<std::pair<Time, std::uint64_t>, std::function<void()>> events_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
-// Hands facts to a machine, its actions on calls to whoever plays the network, and wakes it in time.
+// Passes events to a caller and its actions to the simulated network, and wakes the caller on time.
 class CallerDriver {
  public:
   struct Network {
     std::function<void(const OpenCall&)> open;
     std::function<void(const CloseCall&)> close;
   };
-  using Fact = std::function<void(ListCaller&, ListActions&)>;
+  using Event = std::function<void(ListCaller&, ListActions&)>;
 
   CallerDriver(VirtualTime& time, std::unique_ptr<ListCaller> caller, Network network)
       : time_(time), caller_(std::move(caller)), network_(std::move(network)) {}
   CallerDriver(const CallerDriver&) = delete;
   CallerDriver& operator=(const CallerDriver&) = delete;
 
-  void Tell(const Fact& fact) {
+  void Handle(const Event& event) {
     ListActions actions;
-    fact(*caller_, actions);
+    event(*caller_, actions);
     for (const ListAction& action : actions) {
       if (const auto* open = std::get_if<OpenCall>(&action)) network_.open(*open);
       if (const auto* close = std::get_if<CloseCall>(&action)) network_.close(*close);
@@ -64,7 +66,7 @@
     const std::uint64_t timer = ++timer_;
     time_.At(std::max(next, time_.now()), [this, timer] {
       if (timer_ != timer) return;
-      Tell([this](ListCaller& caller, ListActions& out) { caller.Wake(time_.now(), out); });
+      Handle([this](ListCaller& caller, ListActions& out) { caller.Wake(time_.now(), out); });
     });
   }
 
