--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,5 +1,5 @@
-// The router before a discovery that is slow, stops half way, says nothing or moves: how soon it hears of a
-// server that drains.
+// How soon the router receives a drain if discovery is slow, stops in the middle of an answer, does not
+// answer or changes its address.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -24,7 +24,7 @@
   return text.replace(at, what.size(), with);
 }
 
-std::string Pushed(const std::string& config) {
+std::string WithPushedLists(const std::string& config) {
   return Replaced(config, R"("registry_mode":"on_request")", R"("registry_mode":"pushed")");
 }
 
@@ -32,14 +32,14 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
 }
 
-// Does the log say so within `patience`?
-bool HearsOfDrain(Process& process, const std::string& uid, std::chrono::seconds patience = 8s) {
+// Whether the router logs within `timeout` that the server drains.
+bool LogsDrain(Process& process, const std::string& uid, std::chrono::seconds timeout = 8s) {
   const SteadyTime from = std::chrono::steady_clock::now();
-  while (std::chrono::steady_clock::now() - from < patience) {
+  while (std::chrono::steady_clock::now() - from < timeout) {
     std::string line;
     try {
       line = process.err.Until("\n");
-    } catch (const std::runtime_error&) {  // nothing was logged for long
+    } catch (const std::runtime_error&) {  // no log line for a long time
       return false;
     }
     if (line.empty()) return false;
@@ -49,27 +49,27 @@
   return false;
 }
 
-// How a stand-in for discovery treats the calls that come to it.
-struct CallTreatment {
-  std::chrono::milliseconds take{0};  // from a call to its answer
-  bool in_turn = false;               // one call after the other, else each by itself
-  std::size_t unanswered = 0;         // so many calls get nothing
+// How a fake discovery handles calls.
+struct CallHandling {
+  std::chrono::milliseconds call_time{0};  // time from a call to its answer
+  bool one_at_a_time = false;              // serves one call after the other; false: all concurrently
+  std::size_t unanswered = 0;              // number of first calls that get no answer
 };
 
-// A discovery that answers every call with one list.
+// A discovery that answers every call with the same list.
 class SlowDiscovery {
  public:
-  explicit SlowDiscovery(const CallTreatment& treatment)
-      : treatment_(treatment), thread_([this] { Serve(); }) {}
+  explicit SlowDiscovery(const CallHandling& handling)
+      : handling_(handling), thread_([this] { Serve(); }) {}
   ~SlowDiscovery() {
     stop_ = true;
     thread_.join();
   }
   const std::string& address() const { return listener_.address(); }
-  void Tell(const std::string& answer) {
+  void SetAnswer(const std::string& answer) {
     const std::lock_guard lock(lock_);
     answer_ = answer;
-    told_ = true;
+    answer_set_ = true;
   }
 
  private:
@@ -77,9 +77,9 @@
     int fd;
     std::string in;
     SteadyTime due{};
-    bool waits = false;  // for its answer
-    bool held = false;   // left without one
-    bool was_told = false;
+    bool waits = false;          // waits for its answer
+    bool held = false;           // gets no answer
+    bool received_list = false;  // has received the list
   };
   void Serve() {
     while (!stop_) {
@@ -109,44 +109,44 @@
     caller.in.append(bytes, static_cast<std::size_t>(n));
     if (caller.in.find("\r\n\r\n") == std::string::npos) return;
     caller.in.clear();
-    if (calls_++ < treatment_.unanswered) {
+    if (calls_++ < handling_.unanswered) {
       caller.held = true;
       return;
     }
     const SteadyTime now = std::chrono::steady_clock::now();
     caller.waits = true;
-    caller.due = (treatment_.in_turn ? std::max(now, free_) : now) + treatment_.take;
-    free_ = caller.due;  // it works on each call, forsaken or not
+    caller.due = (handling_.one_at_a_time ? std::max(now, free_) : now) + handling_.call_time;
+    free_ = caller.due;  // it processes each call, even if the router has closed it
   }
   void Answer() {
     const std::lock_guard lock(lock_);
-    if (!told_) return;
+    if (!answer_set_) return;
     const SteadyTime now = std::chrono::steady_clock::now();
     for (Caller& caller : callers_) {
       if (!caller.waits || caller.due > now) continue;
-      if (caller.was_told) continue;  // a watch: nothing is new
+      if (caller.received_list) continue;  // a watch: there is no change
       caller.waits = false;
-      caller.was_told = true;
+      caller.received_list = true;
       ::send(caller.fd, answer_.data(), answer_.size(), MSG_NOSIGNAL);
     }
   }
 
   Listener listener_;
-  const CallTreatment treatment_;
+  const CallHandling handling_;
   std::size_t calls_ = 0;
   SteadyTime free_{};
   std::vector<Caller> callers_;
   std::mutex lock_;
   std::string answer_;
-  bool told_ = false;
+  bool answer_set_ = false;
   std::atomic<bool> stop_{false};
   std::thread thread_;
 };
 
-// A discovery that serves calls in turn, a quarter of a second each, and refuses at once what would wait
-// for more than two seconds. It knows one call of each router: a refusal ends those of the same router that
-// wait, and takes a tenth of the time of a call. Forsaken calls are worked on like all others. Each router
-// reaches it at addresses of its own.
+// A discovery that serves calls one after the other, a quarter of a second each, and refuses at once a call
+// that would wait for more than two seconds. A refusal also fails the waiting calls of the same router and
+// takes a tenth of the time of a call. Calls that their routers have closed are processed like all others.
+// Each router reaches it at addresses of its own.
 class CrowdedDiscovery {
  public:
   static constexpr std::size_t kAddresses = 4;
@@ -170,7 +170,7 @@
     Call call = Call::kNone;
     SteadyTime due{};
   };
-  static constexpr std::chrono::milliseconds kEach{250}, kLongestLine{2000};
+  static constexpr std::chrono::milliseconds kCallTime{250}, kMaxQueueTime{2000};
 
   void Serve() {
     while (!stop_) {
@@ -197,13 +197,13 @@
     if (caller.in.find("\r\n\r\n") == std::string::npos) return;
     const SteadyTime now = std::chrono::steady_clock::now();
     free_ = std::max(free_, now);
-    if (free_ - now > kLongestLine) return RefuseAll(caller);
-    free_ += kEach;
+    if (free_ - now > kMaxQueueTime) return RefuseAll(caller);
+    free_ += kCallTime;
     caller.due = free_;
     caller.call = Call::kWaits;
   }
   void RefuseAll(Caller& refused) {
-    free_ += kEach / 10;
+    free_ += kCallTime / 10;
     refused.call = Call::kWaits;
     for (Caller& caller : callers_) {
       if (caller.router == refused.router && caller.call == Call::kWaits)
@@ -213,7 +213,7 @@
   void AnswerDue(Caller& caller) {
     if (caller.call != Call::kWaits || std::chrono::steady_clock::now() < caller.due) return;
     if (caller.in.find("since=2&timeout_ms=") == std::string::npos) return Send(caller, answer_);
-    caller.call = Call::kHeld;  // nothing is new
+    caller.call = Call::kHeld;  // there is no change
   }
   void Send(Caller& caller, const std::string& text) {
     ::send(caller.fd.get(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -231,8 +231,9 @@
 
 }  // namespace
 
-// Guards against news that waits behind a dead answer for longer than a drain's grace.
-TEST_CASE("an answer that tells of a drain and stops half way is made up for within the grace") {
+// Guards against a change that waits behind a stalled answer for longer than the grace period of a drain.
+TEST_CASE(
+    "after an answer with a drain that stops in the middle the rest is received within the grace period") {
   Listener node, other;
   Router router(Target("s1", node.address(), "in_service") + "," +
                 Target("s2", other.address(), "in_service"));
@@ -247,45 +248,45 @@
   Fd beside = router.discovery.Accept();
   CHECK(WatchCall(beside).starts_with("GET /api/targets?since=1&timeout_ms=0 "));
   CHECK(SecondsSince(written) < 0.8);
-  CHECK(HearsOfDrain(router.process, "s1"));  // from the part that came
+  CHECK(LogsDrain(router.process, "s1"));  // from the part that arrived
   beside.Write(whole);
-  CHECK(HearsOfDrain(router.process, "s2"));
+  CHECK(LogsDrain(router.process, "s2"));
   CHECK(WatchCall(beside).starts_with("GET /api/targets?since=2&"));
 }
 
-// Guards against a chain of time-outs, each of which begins again behind all others.
-TEST_CASE("after SIGHUP a drain is heard of, however discovery takes the calls") {
+// Guards against a chain of timeouts, after each of which the call goes to the end of discovery's queue.
+TEST_CASE("after SIGHUP a drain is received, however slowly discovery handles the calls") {
   Listener node, nobody;
   const std::string drains = Http(List(2, true, Target("s1", node.address(), "terminating")));
   const std::string known = Target("s1", node.address(), "in_service");
   const auto config = [&](const std::string& discovery, bool pushed) {
     const std::string text = Router::Config(discovery, known);
-    return pushed ? Pushed(text) : text;
+    return pushed ? WithPushedLists(text) : text;
   };
   for (const bool pushed : {false, true}) {
     DYNAMIC_SECTION("each answer takes 2.2 s, lists are " << (pushed ? "pushed" : "asked for")) {
-      SlowDiscovery slow({.take = 2200ms});
-      slow.Tell(drains);
+      SlowDiscovery slow({.call_time = 2200ms});
+      slow.SetAnswer(drains);
       Process process = Start(config(nobody.address(), pushed), nobody.address());
       process.Reload(config(slow.address(), pushed));
       const SteadyTime moved = std::chrono::steady_clock::now();
-      CHECK(HearsOfDrain(process, "s1"));
+      CHECK(LogsDrain(process, "s1"));
       CHECK(SecondsSince(moved) < 5);
     }
   }
   SECTION("the first four calls are left unanswered, lists are pushed") {
-    SlowDiscovery deaf({.unanswered = 4});
-    deaf.Tell(drains);
+    SlowDiscovery silent({.unanswered = 4});
+    silent.SetAnswer(drains);
     Process process = Start(config(nobody.address(), true), nobody.address());
-    process.Reload(config(deaf.address(), true));
+    process.Reload(config(silent.address(), true));
     const SteadyTime moved = std::chrono::steady_clock::now();
-    CHECK(HearsOfDrain(process, "s1"));
-    CHECK(SecondsSince(moved) < 4.5);  // what the agent has counts 4 s after SIGHUP
+    CHECK(LogsDrain(process, "s1"));
+    CHECK(SecondsSince(moved) < 4.5);  // what the agent has counts as received 4 s after SIGHUP
   }
-  SECTION("calls of eight routers are served in turn, 0.3 s each, with SIGHUP three times in a row") {
+  SECTION("calls of eight routers are served one by one, 0.3 s each, with SIGHUP three times in a row") {
     constexpr int kRouters = 8;
-    SlowDiscovery in_turn({.take = 300ms, .in_turn = true});
-    in_turn.Tell(drains);
+    SlowDiscovery queueing({.call_time = 300ms, .one_at_a_time = true});
+    queueing.SetAnswer(drains);
     const auto fleet = [&](const std::string& discovery) {
       return Replaced(config(discovery, false), R"("balancers":1,)", R"("balancers":8,)");
     };
@@ -293,50 +294,52 @@
     for (int i = 0; i < kRouters; ++i)
       processes.push_back(Start(fleet(nobody.address()), nobody.address()));
     for (int again = 0; again < 3; ++again) {
-      for (Process& process : processes) process.Reload(fleet(in_turn.address()));
+      for (Process& process : processes) process.Reload(fleet(queueing.address()));
       std::this_thread::sleep_for(100ms);
     }
     const SteadyTime moved = std::chrono::steady_clock::now();
-    for (Process& process : processes) CHECK(HearsOfDrain(process, "s1"));
+    for (Process& process : processes) CHECK(LogsDrain(process, "s1"));
     CHECK(SecondsSince(moved) < 6);
   }
 }
 
-// Guards against hearing nothing from a new configuration on until its discovery answers.
-TEST_CASE("after SIGHUP the old watch's news counts until the new address has told its list") {
+// Guards against receiving no changes from a new configuration on until its discovery answers.
+TEST_CASE("after SIGHUP the old watch's changes are applied until the new address has sent its list") {
   Listener node, elsewhere, later;
   Router router(Target("s1", node.address(), "in_service"));
   Fd old = router.discovery.Accept();
   WatchCall(old);
   router.process.Reload(Router::Config(elsewhere.address(), ""));
-  Fd passing = elsewhere.Accept();
-  WatchCall(passing);  // and no answer
+  Fd intermediate = elsewhere.Accept();
+  WatchCall(intermediate);  // gets no answer
   old.Write(Http(List(2, false, Target("s1", node.address(), "terminating"))));
-  CHECK(HearsOfDrain(router.process, "s1"));
+  CHECK(LogsDrain(router.process, "s1"));
   CHECK(WatchCall(old).starts_with("GET /api/targets?since=2&"));
-  // A call to an address that was named in between may stand in its line: what it tells counts too.
+  // A call to an address configured in between may wait in that discovery's queue: its answer is used too.
   router.process.Reload(Router::Config(later.address(), ""));
   Fd fresh = later.Accept();
   CHECK(WatchCall(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
   const std::string back_in_service = Target("s1", node.address(), "in_service");
-  passing.Write(Http(List(3, true, back_in_service + "," + Target("s2", node.address(), "terminating"))));
-  CHECK(HearsOfDrain(router.process, "s2"));
+  intermediate.Write(
+      Http(List(3, true, back_in_service + "," + Target("s2", node.address(), "terminating"))));
+  CHECK(LogsDrain(router.process, "s2"));
   fresh.Write(Http(List(4, true, back_in_service)));
   CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=4&"));
   CHECK(old.Ended());
-  CHECK(passing.Ended());
-  router.process.Reload(Router::Config(elsewhere.address(), ""));  // there and back again
+  CHECK(intermediate.Ended());
+  router.process.Reload(Router::Config(elsewhere.address(), ""));  // to another address and back
   Fd there = elsewhere.Accept();
   WatchCall(there);
   router.process.Reload(Router::Config(later.address(), ""));
   CHECK(there.Ended());
   fresh.Write(Http(List(5, false, Target("s1", node.address(), "terminating"))));
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=5&"));  // the same watch went on
+  CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=5&"));  // the same watch stayed open
 }
 
-// Guards against a fleet whose calls keep a slow discovery busy until it refuses them all: calls beside
-// calls that wait in its line, calls forsaken at each new configuration, and repeats of refused ones.
-TEST_CASE("six routers before a slow discovery hear of a drain within 6 s of configurations in a row") {
+// Guards against a fleet that overloads a slow discovery until it refuses every call: with parallel calls
+// beside calls that wait in its queue, calls abandoned at each new configuration, and repeats of refused
+// calls.
+TEST_CASE("six routers of a slow discovery receive a drain within 6 s of four configurations in a row") {
   constexpr std::size_t kRouters = 6;
   Listener node, nobody;
   CrowdedDiscovery crowded(kRouters, Http(List(2, true, Target("s1", node.address(), "terminating"))));
@@ -352,12 +355,12 @@
     for (std::size_t i = 0; i < kRouters; ++i) processes[i].Reload(config(crowded.AddressOf(i, again)));
   }
   const SteadyTime configured = std::chrono::steady_clock::now();
-  for (Process& process : processes) CHECK(HearsOfDrain(process, "s1", 20s));
+  for (Process& process : processes) CHECK(LogsDrain(process, "s1", 20s));
   CHECK(SecondsSince(configured) < 6);
 }
 
-// Guards against a drain that an older list takes back, because that list arrives later.
-TEST_CASE("after SIGHUP a snapshot taken before a drain was told does not take the drain back") {
+// Guards against a drain that is undone by an older list that arrives later.
+TEST_CASE("after SIGHUP a list created before a drain was received does not undo the drain") {
   Listener draining, serving, moved_to;
   const std::string other = "," + Target("s2", serving.address(), "in_service");
   const std::string in_service = Target("s1", draining.address(), "in_service") + other;
@@ -366,13 +369,13 @@
   WatchCall(old_watch);
   router.process.Reload(Router::Config(moved_to.address(), ""));
   Fd call = moved_to.Accept();
-  WatchCall(call);  // its snapshot is taken now, and written later
+  WatchCall(call);  // its list is created now, and sent later
   old_watch.Write(Http(List(2, false, Target("s1", draining.address(), "terminating"))));
-  CHECK(HearsOfDrain(router.process, "s1"));
+  CHECK(LogsDrain(router.process, "s1"));
   call.Write(Http(List(1, true, in_service)));
-  Fd next = moved_to.Accept();  // it asks again
+  Fd next = moved_to.Accept();  // the router calls again
   WatchCall(next);
-  std::this_thread::sleep_for(1100ms);  // the grace is over
+  std::this_thread::sleep_for(1100ms);  // the grace period is over
   Fd client = router.Connect();
   const auto read_keys = [&](const std::string& round) {
     for (int i = 0; i < 40; ++i) {
@@ -386,15 +389,15 @@
   };
   read_keys("a");
   CHECK_FALSE(gets_attempts());
-  // What is newer counts at once, though it takes the drain back.
+  // A newer list is applied at once, although it undoes the drain.
   next.Write(Http(List(3, true, in_service)));
   WatchCall(next);
   read_keys("b");
   CHECK(gets_attempts());
 }
 
-// Guards against news that waits for the end of a long answer that neither stops nor ends.
-TEST_CASE("a drain that is told early in a slow answer counts from its entry's last byte") {
+// Guards against a change that waits for the end of a slow answer that neither stalls nor completes.
+TEST_CASE("a drain early in a slow answer is applied once its entry's last byte has arrived") {
   Listener node;
   Router router(Target("s1", node.address(), "in_service"));
   Fd watch = router.discovery.Accept();
@@ -405,22 +408,22 @@
     entries += "," + Target("t" + std::to_string(i), node.address(), "in_service");
   }
   const std::string answer = Http(List(2, false, entries));
-  const std::size_t told = answer.find(entries) + first;
-  watch.Write(answer.substr(0, told));
+  const std::size_t drain_end = answer.find(entries) + first;
+  watch.Write(answer.substr(0, drain_end));
   const SteadyTime written = std::chrono::steady_clock::now();
-  std::atomic<bool> heard{false};
+  std::atomic<bool> drain_logged{false};
   std::thread rest([&] {
-    const std::size_t piece = (answer.size() - told) / 40;
-    for (std::size_t at = told; at < answer.size() && !heard; at += piece) {
+    const std::size_t piece = (answer.size() - drain_end) / 40;
+    for (std::size_t at = drain_end; at < answer.size() && !drain_logged; at += piece) {
       std::this_thread::sleep_for(40ms);
       const std::string part = answer.substr(at, piece);
       ::send(watch.get(), part.data(), part.size(), MSG_NOSIGNAL);
     }
   });
-  const bool drains = HearsOfDrain(router.process, "s1");
+  const bool drains = LogsDrain(router.process, "s1");
   const double after = SecondsSince(written);
-  heard = true;
+  drain_logged = true;
   rest.join();
   CHECK(drains);
-  CHECK(after < 0.15);  // a router may be held up for so long
+  CHECK(after < 0.15);  // a router may be delayed this long
 }
