--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -14,9 +14,8 @@
 constexpr Duration kMaxFirstGap = milliseconds(1500);
 constexpr Duration kOverloadedGap = milliseconds(2200);  // after calls were refused recently
 constexpr Duration kOverloadedFor = std::chrono::seconds(10);
-constexpr Duration kPromptAnswer =
-    milliseconds(500);          // an answer within this shows that discovery has capacity
-constexpr int kEarlyCalls = 5;  // the gap doubles with each call from this one on
+constexpr Duration kPromptAnswer = milliseconds(500);  // a faster answer: discovery has capacity
+constexpr int kEarlyCalls = 5;                         // the gap doubles with each call from this one on
 
 // The gaps and the limit on connecting for an agent that serves only this router. The values in use are
 // fractions of a drain's grace period, within these bounds.
@@ -279,8 +278,8 @@
   next_open_ = std::min(next_open_, now + wait);
 }
 
-// The gap between this call and the next one beside it. If discovery has been slow, the gap grows to 1.5
-// times the time that it takes for a call.
+// The gap between this call and the next one beside it. If discovery has been slow, the gap is at least 1.5
+// times the time that it takes for a call, up to the largest gap.
 Duration ListRefresher::NextGap(Time now) {
   const Duration grace = limits_.drain_grace;
   const Duration slow_answer = answer_time_ * 3 / 2;
