--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -72,7 +72,7 @@
     } else if (key == "old_ms") {
       s.old = span(number(m.value, key, 0, 86400000));
     } else {
-      throw bad("\"" + key + "\" is not known, or not of its type");
+      throw bad("\"" + key + "\" is unknown or has the wrong type");
     }
   }
   if (s.folder.empty()) throw bad("\"folder\" is missing");
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -116,12 +116,13 @@
   rapidjson::Document d;
   d.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   for (const char* key : {"router", "taken", "rev", "list", "suspended", "servers", "origin", "keys"}) {
-    if (d.HasParseError() || !d.IsObject() || !d.HasMember(key)) return refuse("not sound");
+    if (d.HasParseError() || !d.IsObject() || !d.HasMember(key)) return refuse("invalid content");
   }
   for (const char* key : {"list", "suspended", "servers", "origin", "keys"}) {
-    if (!d[key].IsArray()) return refuse("not sound");
+    if (!d[key].IsArray()) return refuse("invalid content");
   }
-  if (!d["router"].IsString() || !d["taken"].IsInt64() || !d["rev"].IsInt64()) return refuse("not sound");
+  if (!d["router"].IsString() || !d["taken"].IsInt64() || !d["rev"].IsInt64())
+    return refuse("invalid content");
   Snapshot s;
   bool ok = true;
   s.router = d["router"].GetString();
@@ -170,7 +171,7 @@
     }
     s.learnt.keys.push_back(std::move(k));
   }
-  if (!ok) return refuse("not sound");
+  if (!ok) return refuse("invalid content");
   return s;
 }
 
