--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -35,7 +35,7 @@
     if (now < last_new_work()) return Phase::kAccepting;
     return now < time_up() ? Phase::kRefusing : Phase::kTimeUp;
   }
-  // May a request that is read now be forwarded?
+  // Whether a request that is read now may be forwarded.
   bool TakesWork(Time now) const { return At(now) < Phase::kRefusing; }
 
  private:
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -204,7 +204,7 @@
   const RefreshLimits limits_;
   beechledge::ListCalls pacing_;
   std::mt19937_64 random_;
-  std::optional<std::int64_t> version_;  // of the list held, as the current source counts
+  std::optional<std::int64_t> version_;  // of the list held, in the current source's numbering
   SourceId current_ = 0, target_ = 0;
   bool following_ = false, ask_first_ = false;
   std::vector<Call> calls_;  // open calls, the oldest first
