--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -5,28 +5,28 @@
 
 void Balancer::Core::Dispatch(Request& r) {
   if (set_.origin == Origin::kAside && (r.write || r.missed || up_.size() == origins_)) {
-    if (AskOrigin(r)) return;
+    if (SendToOrigin(r)) return;
   } else {
     int best = Choose(r, false);
     if (best < 0) best = Choose(r, true);
     if (best >= 0 && SendTo(r, static_cast<ServerId>(best))) return;
   }
   if (r.out > 0) return;
-  if (r.shed && r.attempts.empty()) return End(r);
+  if (r.shed && r.attempts.empty()) return EndRequest(r);
   Hold(r);
 }
 
 // The origin is scarce. A fetch waits while another of its key is out (single-flight), and while as many
 // are out as the origin is seen to bear: fetches that fail or come late would only keep it from those
 // that matter.
-bool Balancer::Core::FetchRoom(const KeyTable::Entry* entry) const {
+bool Balancer::Core::MayFetch(const KeyTable::Entry* entry) const {
   return origin_pace_.Room(now_) && (entry == nullptr || now_ >= entry->fetch_until);
 }
 
 // May a request held for its fetch go on: has its key come meanwhile, or is there room?
-bool Balancer::Core::FetchDue(const Request& r) {
+bool Balancer::Core::HeldFetchReady(const Request& r) {
   const KeyTable::Entry* entry = keys_.Find(r.key);
-  if (FetchRoom(entry)) return true;
+  if (MayFetch(entry)) return true;
   return entry != nullptr && std::any_of(entry->holders.begin(), entry->holders.end(),
                                          [](const Holder& h) { return h.confirmed; });
 }
@@ -36,11 +36,11 @@
   const Holder* holder = FindHolder(entry, id, servers_[id]);
   const bool kept = holder != nullptr && holder->confirmed;
   const bool fetch = set_.origin == Origin::kThrough && entry != nullptr && !kept;
-  r.awaits_fetch = fetch && !FetchRoom(entry);
+  r.awaits_fetch = fetch && !MayFetch(entry);
   if (r.awaits_fetch) return false;
   if (!TrySend(r, id, fetch)) return false;
   if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_pace_.Usual());
-  if (entry != nullptr) Join(*entry, id);
+  if (entry != nullptr) AddHolder(*entry, id);
   if (r.attempts.size() == 1 && set_.allowed.parallel_tries && ClassOf(r).effect == Effect::kSafe &&
       times_.Known()) {
     SetRequestTimer(TimerKind::kHedge, r.id, now_ + times_.Quantile(0.95) * 5 / 4);
@@ -48,8 +48,8 @@
   return true;
 }
 
-bool Balancer::Core::AskOrigin(Request& r) {
-  if (!r.write && !FetchRoom(nullptr)) return false;
+bool Balancer::Core::SendToOrigin(Request& r) {
+  if (!r.write && !MayFetch(nullptr)) return false;
   for (ServerId id : up_) {
     if (IsOrigin(servers_[id]) && TrySend(r, id, !r.write)) return true;
   }
@@ -60,7 +60,7 @@
 void Balancer::Core::Hold(Request& r) {
   if (static_cast<int>(r.attempts.size()) >= set_.allowed.max_attempts ||
       (ClassOf(r).effect != Effect::kSafe && r.MayHaveRun())) {
-    End(r);
+    EndRequest(r);
     return;
   }
   r.held = true;
@@ -79,14 +79,14 @@
     Request& r = it->second;
     if (r.ended || !r.held) continue;
     r.held = false;
-    if (now_ - r.arrived >= MostHeld(r) && MayRefuse(r)) {
-      End(r);
-    } else if (r.awaits_fetch && !FetchDue(r)) {
+    if (now_ - r.arrived >= MaxHoldTime(r) && MayRefuse(r)) {
+      EndRequest(r);
+    } else if (r.awaits_fetch && !HeldFetchReady(r)) {
       Hold(r);
     } else {
       Dispatch(r);
     }
-    Forget(it);
+    EraseIfDone(it);
   }
   std::reverse(held_.begin(), held_.end());
 }
@@ -96,7 +96,7 @@
   out_->push_back(SetTimer{last_token_, at});
 }
 
-void Balancer::Core::On(const NewRequest& e) {
+void Balancer::Core::HandleEvent(const NewRequest& e) {
   const auto [it, fresh] = requests_.try_emplace(e.id);
   if (!fresh) return;  // a duplicate id: the host's mistake
   Request& r = it->second;
@@ -110,29 +110,29 @@
   retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryBudget);
   SetRequestTimer(TimerKind::kDeadline, r.id, r.deadline);
   paces_.Step(now_);
-  borne_.Hold(now_, kBorneTau, LookRate());
+  borne_.Hold(now_, kBorneTau, SampleRate());
   if (!watching_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
   watching_ = true;
-  r.shed = Throttled(r);
+  r.shed = ShouldShed(r);
   if (r.shed && origin_pace_.Strained()) {
-    End(r);
+    EndRequest(r);
   } else {
     Dispatch(r);
   }
-  Forget(it);
+  EraseIfDone(it);
 }
 
-void Balancer::Core::On(const ClientGone& e) {
+void Balancer::Core::HandleEvent(const ClientGone& e) {
   const auto it = requests_.find(e.id);
   if (it == requests_.end()) return;
-  Finish(it->second);
-  Forget(it);
+  MarkEnded(it->second);
+  EraseIfDone(it);
 }
 
-void Balancer::Core::On(const Outcome& e) {
+void Balancer::Core::HandleEvent(const Outcome& e) {
   if (e.server >= servers_.size()) return;
   Server& s = servers_[e.server];
-  if (e.report) TakeReport(s, *e.report);
+  if (e.report) ApplyReport(s, *e.report);
   const auto it = requests_.find(e.id);
   if (it == requests_.end()) return;
   Request& r = it->second;
@@ -144,27 +144,27 @@
   a.may_have_run = !NeverRan(e.result);
   a.astray |= e.result == Result::kSpoilt || e.result == Result::kReset;
   --r.out;
-  CountInflight(s, -1);
+  AdjustInflight(s, -1);
   if (s.trials > 0) --s.trials;
   // A server takes few connections; where it refuses one, an idle one is better given back to the other
   // balancers, and where it is gone, an idle one leads nowhere. Says nothing of other servers: guards
   // against one lost server costing a handshake with every attempt at all others, at every balancer.
   if (e.result == Result::kConnectFailed) s.crowded_until = now_ + kCrowdedSpell;
   if (s.inflight == 0 && now_ < s.crowded_until) out_->push_back(CloseIdle{e.server});
-  if (e.complete) Finish(r);
+  if (e.complete) MarkEnded(r);
   const bool answered = e.result != Result::kTimeout && e.result != Result::kConnectFailed;
   if (e.result != Result::kMoot && (e.result != Result::kCancelled || a.overdue)) {
-    HearHall(s, answered && !a.overdue);
+    RecordZoneResult(s, answered && !a.overdue);
   }
-  Learn(s, r, a, e);
-  LearnFetch(r, a, e);
-  LearnAgain(r, a, e.result);
-  if (!r.ended && !r.streaming) Continue(r, e.result);
-  Forget(it);
+  LearnServerResult(s, r, a, e);
+  LearnFetchResult(r, a, e);
+  LearnRetryResult(r, a, e.result);
+  if (!r.ended && !r.streaming) RetryOrEnd(r, e.result);
+  EraseIfDone(it);
 }
 
 // An attempt has ended without ending its request.
-void Balancer::Core::Continue(Request& r, Result result) {
+void Balancer::Core::RetryOrEnd(Request& r, Result result) {
   if (result == Result::kMiss) {
     r.missed = true;
     Dispatch(r);
@@ -178,19 +178,19 @@
     Dispatch(r);
     if (r.out > 0 || r.held) return;
   }
-  End(r);
+  EndRequest(r);
 }
 
-void Balancer::Core::On(const FirstByte& e) {
+void Balancer::Core::HandleEvent(const FirstByte& e) {
   const auto it = requests_.find(e.id);
   if (it != requests_.end()) it->second.streaming = true;
 }
 
-void Balancer::Core::On(const ProbeResult& e) {
-  if (e.server < servers_.size() && e.report) TakeReport(servers_[e.server], *e.report);
+void Balancer::Core::HandleEvent(const ProbeResult& e) {
+  if (e.server < servers_.size() && e.report) ApplyReport(servers_[e.server], *e.report);
 }
 
-void Balancer::Core::On(const TimerFired& e) {
+void Balancer::Core::HandleEvent(const TimerFired& e) {
   const auto timer = timers_.find(e.token);
   if (timer == timers_.end()) return;
   const auto [kind, id] = timer->second;
@@ -199,10 +199,10 @@
     held_timer_ = false;
     return ReleaseHeld();
   }
-  if (kind == TimerKind::kAsk) return Ask();
+  if (kind == TimerKind::kAsk) return SubscribeToList();
   if (kind == TimerKind::kWatch) {
-    FindSilent();
-    FindOverdue();
+    EjectUnresponsive();
+    CancelOverdue();
     watching_ = !requests_.empty();
     if (watching_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
     return;
@@ -211,14 +211,14 @@
   if (it == requests_.end() || it->second.ended || it->second.streaming) return;
   Request& r = it->second;
   if (kind == TimerKind::kDeadline) {
-    End(r);
+    EndRequest(r);
   } else if (kind == TimerKind::kHedge && r.out == 1 && retry_tokens_ >= 1) {
     const int best = Choose(r, false);
     if (best >= 0 && !r.Tried(static_cast<ServerId>(best)) && SendTo(r, static_cast<ServerId>(best))) {
       retry_tokens_ -= 1;
     }
   }
-  Forget(it);
+  EraseIfDone(it);
 }
 
 }  // namespace beechledge
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -17,7 +17,7 @@
   now_ = std::max(now_, now);  // a clock that steps back stands still
   if (began_ == Time(0)) began_ = now_;
   out_ = &out;
-  std::visit([this](const auto& e) { On(e); }, event);
+  std::visit([this](const auto& e) { HandleEvent(e); }, event);
   out_ = nullptr;
 }
 
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -26,15 +26,15 @@
 // and a key's home is still the same at every balancer of a hall. Where the own hall carries more than
 // its part of the traffic, whole keys cross, as many as keep its answers from being slower than the
 // other's.
-bool Balancer::Core::StaysHome(std::uint64_t key) const {
-  if (set_.prices.cross_zone <= 0 || LookRate() >= 1) return false;
+bool Balancer::Core::PrefersOwnZone(std::uint64_t key) const {
+  if (set_.prices.cross_zone <= 0 || SampleRate() >= 1) return false;
   return Unit(Mix(key ^ kHomeSalt)) < home_share_.value();
 }
 
 // A key's order of the servers: the shared hash, weighed by what each is to carry, so that each comes
 // first for its part of the keys, and a part that changes moves just the keys that differ (weighted
 // rendezvous hashing). Least first; with equal parts it is the order of the hash, highest first.
-double Balancer::Core::Order(std::uint64_t key, const Server& s) {
+double Balancer::Core::RendezvousRank(std::uint64_t key, const Server& s) {
   return -std::log(Unit(PairHash(key, s.hash)) + 0x1.0p-54) / s.part;
 }
 
@@ -43,8 +43,8 @@
 // then decides between them as between holders. -1: nothing moves. Under modest load keys stay where they
 // are. Guards against servers that idle beside full ones for want of keys of their own; and against
 // moving while the origin has no room for the fetch that it costs.
-int Balancer::Core::Home(const Request& r, const KeyTable::Entry* entry, bool sampled) const {
-  if (entry == nullptr || entry->holders.empty() || r.write || !FetchRoom(entry) ||
+int Balancer::Core::RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const {
+  if (entry == nullptr || entry->holders.empty() || r.write || !MayFetch(entry) ||
       origin_pace_.NearStrain()) {
     return -1;
   }
@@ -79,16 +79,17 @@
   for (ServerId id : up_) {
     Server& s = servers_[id];
     if (IsOrigin(s)) continue;
-    warm += !Cold(s);
+    warm += !IsCold(s);
     const double raw = RawLoad(s);
     sum += raw;
-    s.part = paces_.Weight(id) * (Cold(s) ? std::min(1.0, ColdBudget(s)) : 1);
+    s.part = paces_.Weight(id) * (IsCold(s) ? std::min(1.0, ColdBudget(s)) : 1);
     parts += s.part;
     ++ready;
-    if (!(spare_ejected || Healthy(s)) || !Allowed(r, id) || !ColdRoom(s) || (r.shed && !Cold(s))) continue;
+    if (!(spare_ejected || Healthy(s)) || !Allowed(r, id) || !HasColdToken(s) || (r.shed && !IsCold(s)))
+      continue;
     if (!startup_.MayTry(s.inflight, s.answered >= Time(0))) continue;
     loads_[id] = raw;
-    orders_[id] = Order(r.key, s);
+    orders_[id] = RendezvousRank(r.key, s);
   }
   if (ready == 0) return -1;
   warm_ = std::max(warm, 1);
@@ -97,8 +98,8 @@
   const double mark = typical_ / Seconds(kLoadTau);
   // And a server with one request is not loaded, however idle the others are.
   const double least = 1.0 / set_.balancers;
-  const bool sampled = StaysHome(r.key);
-  const int home = Home(r, entry, sampled);
+  const bool sampled = PrefersOwnZone(r.key);
+  const int home = RelocationTarget(r, entry, sampled);
   int best = -1;
   double best_cost = 0, best_load = 0;
   bool holder_busy = false, best_away = false;
@@ -106,7 +107,8 @@
   for (ServerId id : up_) {
     if (loads_[id] < 0) continue;
     const Server& s = servers_[id];
-    const double load = Weighed(s, kMeanLoad * loads_[id] / std::max(sum / parts * s.part + mark, least));
+    const double load =
+        EvidenceWeightedLoad(s, kMeanLoad * loads_[id] / std::max(sum / parts * s.part + mark, least));
     const bool mapped = FindHolder(entry, id, s) != nullptr || static_cast<int>(id) == home;
     holder_busy |= mapped && load >= kLIdle;
     const bool again = r.Tried(id);  // a server that failed this request comes after all others
@@ -130,7 +132,7 @@
 }
 
 // The winner joins the key's set; a set at rest for a quiet spell loses its last holder in hash order.
-void Balancer::Core::Join(KeyTable::Entry& entry, ServerId id) {
+void Balancer::Core::AddHolder(KeyTable::Entry& entry, ServerId id) {
   std::erase_if(entry.holders, [&](const Holder& h) {
     const Server& s = servers_[h.server];
     return !s.listed || s.life != h.life;
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -39,37 +39,41 @@
  private:
   // ---- Load: the smoothed own in-flight, and a share of what the server reports ----
   double RawLoad(const Server& s) const;
-  void TakeReport(Server& s, const LoadReport& report);
-  void CountInflight(Server& s, int change);
+  void ApplyReport(Server& s, const LoadReport& report);
+  void AdjustInflight(Server& s, int change);
 
   // ---- Cold servers: a budget of sends from the start on, kept by this instance alone ----
-  bool Cold(const Server& s) const { return s.started > Time(0) && now_ - s.started < set_.rules.ramp; }
-  double LookRate() const;
+  bool IsCold(const Server& s) const { return s.started > Time(0) && now_ - s.started < set_.rules.ramp; }
+  double SampleRate() const;
   // What a warm one is seen to bear. Guards against cold servers left idle just as warm ones drown: those
   // then answer few, and a budget in proportion to that would fall with them.
-  double BorneRate() const { return std::max(LookRate(), borne_.Read(now_, kBorneTau, LookRate())); }
-  double ColdShare(const Server& s) const;
+  double SustainedRate() const {
+    return std::max(SampleRate(), borne_.Read(now_, kBorneTau, SampleRate()));
+  }
+  double RampFraction(const Server& s) const;
   // What a cold server may be sent, of what a warm one is.
-  double ColdBudget(const Server& s) const { return kColdMargin * set_.rules.fall_multiple * ColdShare(s); }
-  void FillCold(Server& s) const;
-  bool ColdRoom(Server& s) const;
+  double ColdBudget(const Server& s) const {
+    return kColdMargin * set_.rules.fall_multiple * RampFraction(s);
+  }
+  void RefillColdTokens(Server& s) const;
+  bool HasColdToken(Server& s) const;
 
   // ---- Health: outcomes against those of the peers ----
-  void Judge(Server& s, bool failed, bool hard, bool astray = false);
+  void RecordHealth(Server& s, bool failed, bool hard, bool astray = false);
   void Eject(Server& s);
   // The least patience that an aim leaves. (A fixed time was longer than the whole aim where all is quick.)
-  static Duration PatienceFrom(Duration aim) {
+  static Duration MinPatience(Duration aim) {
     return aim > Duration(0) ? FromSeconds(kPatienceShare * Seconds(aim)) : kSilentLeast;
   }
-  void FindSilent();
-  double RetryRoom() const;
-  void TakeBack(ServerId id);
-  void FindOverdue();
-  Time LastUse(const Request& r) const;
+  void EjectUnresponsive();
+  double RemainingRetryBudget() const;
+  void CancelAttemptsAt(ServerId id);
+  void CancelOverdue();
+  Time LatestUsefulTime(const Request& r) const;
 
   // ---- Halls: a whole one that falls silent is told from a server in trouble ----
-  bool HallLost(const Server& s) const { return !IsOrigin(s) && halls_.Lost(s.zone); }
-  void HearHall(Server& s, bool answered);
+  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && halls_.Lost(s.zone); }
+  void RecordZoneResult(Server& s, bool answered);
   bool Healthy(const Server& s) const;
 
   // ---- The LARD choice ----
@@ -80,60 +84,60 @@
   static double CostLocality(bool mapped) { return mapped ? 1 : kMissCost; }
   static double CostReplacement(double load, bool mapped);
   static const Holder* FindHolder(const KeyTable::Entry* entry, ServerId id, const Server& s);
-  bool StaysHome(std::uint64_t key) const;
-  void LearnPace(const Server& s, Duration took) {
+  bool PrefersOwnZone(std::uint64_t key) const;
+  void LearnZoneLatency(const Server& s, Duration took) {
     if (!IsOrigin(s)) home_share_.Learn(now_, s.zone == set_.zone, took);
   }
-  static double Order(std::uint64_t key, const Server& s);
-  int Home(const Request& r, const KeyTable::Entry* entry, bool sampled) const;
-  double Weighed(const Server& s, double load) const;
+  static double RendezvousRank(std::uint64_t key, const Server& s);
+  int RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const;
+  double EvidenceWeightedLoad(const Server& s, double load) const;
   int Choose(const Request& r, bool spare_ejected);
-  void Join(KeyTable::Entry& entry, ServerId id);
+  void AddHolder(KeyTable::Entry& entry, ServerId id);
 
   // ---- The gate: every send passes here, and each of the rules is kept here ----
   const RequestClass& ClassOf(const Request& r) const;
   bool Allowed(const Request& r, ServerId id) const;
   bool TrySend(Request& r, ServerId id, bool fetch);
   bool MayRefuse(const Request& r) const;
-  bool Throttled(const Request& r);
-  Duration ComeBack(const Request& r);
-  Duration MostHeld(const Request& r) const;
-  void Finish(Request& r) {
+  bool ShouldShed(const Request& r);
+  Duration RetryAfter(const Request& r);
+  Duration MaxHoldTime(const Request& r) const;
+  void MarkEnded(Request& r) {
     if (!std::exchange(r.ended, true)) admission_.Ended(now_);
   }
-  void End(Request& r);
+  void EndRequest(Request& r);
 
   // ---- Attempts ----
   void Dispatch(Request& r);
-  bool FetchRoom(const KeyTable::Entry* entry) const;
-  bool FetchDue(const Request& r);
+  bool MayFetch(const KeyTable::Entry* entry) const;
+  bool HeldFetchReady(const Request& r);
   bool SendTo(Request& r, ServerId id);
-  bool AskOrigin(Request& r);
+  bool SendToOrigin(Request& r);
   void Hold(Request& r);
   void ReleaseHeld();
   void SetRequestTimer(TimerKind kind, RequestId id, Time at);
-  void Forget(std::unordered_map<RequestId, Request>::iterator it) {
+  void EraseIfDone(std::unordered_map<RequestId, Request>::iterator it) {
     if (it->second.ended && it->second.out == 0) requests_.erase(it);
   }
-  void On(const NewRequest& e);
-  void On(const ClientGone& e);
-  void On(const Outcome& e);
-  void LearnFetch(const Request& r, const Attempt& a, const Outcome& e);
-  void LearnAgain(const Request& r, const Attempt& a, Result result);
-  void Learn(Server& s, const Request& r, const Attempt& a, const Outcome& e);
-  void Continue(Request& r, Result result);
-  void On(const FirstByte& e);
-  void On(const ProbeResult& e);
-  void On(const PeerMessage&) {}
-  void On(const TimerFired& e);
+  void HandleEvent(const NewRequest& e);
+  void HandleEvent(const ClientGone& e);
+  void HandleEvent(const Outcome& e);
+  void LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e);
+  void LearnRetryResult(const Request& r, const Attempt& a, Result result);
+  void LearnServerResult(Server& s, const Request& r, const Attempt& a, const Outcome& e);
+  void RetryOrEnd(Request& r, Result result);
+  void HandleEvent(const FirstByte& e);
+  void HandleEvent(const ProbeResult& e);
+  void HandleEvent(const PeerMessage&) {}
+  void HandleEvent(const TimerFired& e);
 
   // ---- The server list ----
-  void On(const ServerList& e);
-  void Take(const ServerEntry& entry);
-  double StatedSize(const ServerEntry& entry) const;
-  void Recount();
-  void AskIn(Duration wait);
-  void Ask();
+  void HandleEvent(const ServerList& e);
+  void ApplyEntry(const ServerEntry& entry);
+  double ListedSize(const ServerEntry& entry) const;
+  void RebuildUpServers();
+  void ScheduleListCall(Duration wait);
+  void SubscribeToList();
   double Uniform() { return Unit(random_()); }
 
   Settings set_;
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -31,11 +31,11 @@
 
 bool Balancer::Core::TrySend(Request& r, ServerId id, bool fetch) {
   Server& s = servers_[id];
-  if (!Allowed(r, id) || !ColdRoom(s)) return false;
-  if (Cold(s)) s.cold_tokens -= 1;
+  if (!Allowed(r, id) || !HasColdToken(s)) return false;
+  if (IsCold(s)) s.cold_tokens -= 1;
   if (s.ejected) ++s.trials;
-  if (HallLost(s)) halls_.Tried(s.zone, now_);
-  CountInflight(s, +1);
+  if (ZoneDown(s)) halls_.Tried(s.zone, now_);
+  AdjustInflight(s, +1);
   s.sends.Add(now_, kRateTau, 1);
   r.attempts.push_back({id, now_, fetch});
   r.attempts.back().life = s.life;
@@ -54,7 +54,7 @@
 // Guards against a fleet that answers nobody in time because it is asked more than it can serve: a part of
 // the reads is told at once to come later, those of little worth first and none wholly. Not writes: they
 // are few, and worth more than a try.
-bool Balancer::Core::Throttled(const Request& r) {
+bool Balancer::Core::ShouldShed(const Request& r) {
   if (r.write || ClassOf(r).effect != Effect::kSafe) return false;
   admission_.Asked(now_);
   const double worth = std::max(0.01, ClassOf(r).worth);
@@ -68,7 +68,7 @@
 // When a refused client should come back. One whose aim has passed can earn nothing more with this
 // request: its next try had better wait as long as clients will. Else about the time in which what is
 // held now gets its turn, spread a little, lest all come back at once.
-Duration Balancer::Core::ComeBack(const Request& r) {
+Duration Balancer::Core::RetryAfter(const Request& r) {
   if (!set_.allowed.retry_after) return Duration(0);
   const Duration most = set_.allowed.max_retry_after;
   const Duration aim = ClassOf(r).aim;
@@ -80,18 +80,18 @@
 
 // How long a request may be held. Guards against the late refusal of what was never tried: from half of
 // its time on that costs its client more than a refusal at once.
-Duration Balancer::Core::MostHeld(const Request& r) const {
+Duration Balancer::Core::MaxHoldTime(const Request& r) const {
   const Duration half = (r.deadline - r.arrived) / 2 - 2 * kHoldStep;
   const Duration aim = ClassOf(r).aim > Duration(0) ? ClassOf(r).aim : r.deadline - r.arrived;
   return r.attempts.empty() ? std::min(aim, half) : aim;
 }
 
 // The one place that ends requests.
-void Balancer::Core::End(Request& r) {
+void Balancer::Core::EndRequest(Request& r) {
   if (r.ended) return;
-  Finish(r);
+  MarkEnded(r);
   if (MayRefuse(r)) {
-    out_->push_back(Refuse{r.id, ComeBack(r)});
+    out_->push_back(Refuse{r.id, RetryAfter(r)});
   } else {
     out_->push_back(Fail{r.id});
   }
--- a/src/choice/health.cpp
+++ b/src/choice/health.cpp
@@ -6,10 +6,10 @@
 // An attempt that went astray counts in the share but not in a streak: the server works, and a few of
 // them by chance must not take it out. (Resets on all servers alike once filled kEjectCap, and a server
 // that hung stayed in.)
-void Balancer::Core::Judge(Server& s, bool failed, bool hard, bool astray) {
+void Balancer::Core::RecordHealth(Server& s, bool failed, bool hard, bool astray) {
   // A second's looks make the evidence: where they are one or none, one failure is all that there will
   // be, and waiting for three costs as many requests at each balancer of the fleet.
-  const double looks = LookRate() * Seconds(kEjectFirst);
+  const double looks = SampleRate() * Seconds(kEjectFirst);
   const int streak = std::clamp(1 + static_cast<int>(looks), 1, kEjectStreak);
   s.failure_share += (looks < 1 && !astray ? 0.5 : kHealthStep) * ((failed ? 1 : 0) - s.failure_share);
   fleet_failure_ += kHealthStep / 10 * ((failed ? 1 : 0) - fleet_failure_);
@@ -46,7 +46,7 @@
   }
   s.ejected = true;
   // Shorter than the time between two looks, a spell would change nothing.
-  const double look = kLooks / std::max(LookRate(), 0.25);
+  const double look = kLooks / std::max(SampleRate(), 0.25);
   const double spell = std::max(Seconds(kEjectFirst), look) * std::exp2(std::min(s.ejections, 6));
   const double most = std::max(Seconds(kEjectMost), 4 * look);
   s.ejected_until = now_ + FromSeconds(std::min(spell, most) * (1 + 0.2 * Uniform()));
@@ -54,7 +54,7 @@
 }
 
 // A lost hall is told from a server in trouble.
-void Balancer::Core::HearHall(Server& s, bool answered) {
+void Balancer::Core::RecordZoneResult(Server& s, bool answered) {
   if (IsOrigin(s)) return;
   if (answered) return halls_.Heard(s.zone);
   if (!halls_.Failed(s.zone, now_, s.silent_in)) return;
@@ -64,7 +64,7 @@
 }
 
 bool Balancer::Core::Healthy(const Server& s) const {
-  if (HallLost(s)) return halls_.MayTry(s.zone, now_);
+  if (ZoneDown(s)) return halls_.MayTry(s.zone, now_);
   return !s.ejected || (now_ >= s.ejected_until && s.trials == 0);
 }
 
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -4,7 +4,7 @@
 namespace beechledge {
 
 // What it tells of the key's holders, and of the origin where the origin was asked.
-void Balancer::Core::LearnFetch(const Request& r, const Attempt& a, const Outcome& e) {
+void Balancer::Core::LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e) {
   KeyTable::Entry* entry = r.keyed_item ? keys_.Find(r.key) : nullptr;
   if (entry != nullptr && !NeverRan(e.result) && e.result != Result::kCancelled) {
     // A write voids the kept copies; an error says that the copy is gone and could not be fetched again.
@@ -34,57 +34,59 @@
 // Does another attempt help what was taken back? One that went astray is answered as quickly as any
 // other; a heavy request, or one in an overloaded tier, is as slow again, and was better left where it
 // was.
-void Balancer::Core::LearnAgain(const Request& r, const Attempt& a, Result result) {
+void Balancer::Core::LearnRetryResult(const Request& r, const Attempt& a, Result result) {
   if (&a != &r.attempts.back() || result == Result::kMiss || result == Result::kCancelled) return;
   if (std::none_of(r.attempts.begin(), r.attempts.end() - 1, [](const Attempt& o) { return o.overdue; })) {
     return;
   }
-  const bool helped = result == Result::kOk && now_ <= LastUse(r);
+  const bool helped = result == Result::kOk && now_ <= LatestUsefulTime(r);
   again_helps_ += 0.1 * ((helped ? 1 : 0) - again_helps_);
 }
 
-void Balancer::Core::Learn(Server& s, const Request& r, const Attempt& a, const Outcome& e) {
+void Balancer::Core::LearnServerResult(Server& s, const Request& r, const Attempt& a, const Outcome& e) {
   if (e.result == Result::kTimeout || (e.result == Result::kCancelled && a.overdue)) {
     times_.AddGivenUp(now_ - a.sent);
-    if (!HallLost(s)) LearnPace(s, 2 * (now_ - a.sent));
+    if (!ZoneDown(s)) LearnZoneLatency(s, 2 * (now_ - a.sent));
   }
   // In a lost hall no failure is the server's own: it is to be well again as soon as its hall is.
-  if (HallLost(s)) return;
+  if (ZoneDown(s)) return;
   // Guards against taking a server out for what its process before the last start failed.
   if (a.life != s.life) return;
   switch (e.result) {
     case Result::kOk:
       served_.Add(now_, kRateTau, 1);
-      admission_.Answered(now_, ClassOf(r).aim > Duration(0) && !r.write, now_ > LastUse(r));
+      admission_.Answered(now_, ClassOf(r).aim > Duration(0) && !r.write, now_ > LatestUsefulTime(r));
       times_.Add(now_ - a.sent);
-      LearnPace(s, now_ - a.sent);
-      if (!a.fetch && !r.write && !IsOrigin(s)) paces_.Answered(e.server, now_, now_ - a.sent, Cold(s));
+      LearnZoneLatency(s, now_ - a.sent);
+      if (!a.fetch && !r.write && !IsOrigin(s)) paces_.Answered(e.server, now_, now_ - a.sent, IsCold(s));
       typical_ += 0.02 * (Seconds(now_ - a.sent) - typical_);
       // Where looks are few, load shows only how slow an answer was: one too late to be worth anything is
       // a failure, unless it was late to begin with.
-      Judge(s, LookRate() < 1 && now_ > LastUse(r) && now_ - a.sent > times_.Quantile(0.95), false);
+      RecordHealth(s,
+                   SampleRate() < 1 && now_ > LatestUsefulTime(r) && now_ - a.sent > times_.Quantile(0.95),
+                   false);
       break;
     case Result::kMiss:
-      paces_.Missed(e.server, now_, now_ - a.sent, Cold(s));
-      Judge(s, false, false);
+      paces_.Missed(e.server, now_, now_ - a.sent, IsCold(s));
+      RecordHealth(s, false, false);
       break;
     case Result::kError:
     case Result::kTimeout:
-      Judge(s, true, false);
+      RecordHealth(s, true, false);
       break;
     case Result::kSpoilt:
     case Result::kReset:
-      Judge(s, true, false, true);
+      RecordHealth(s, true, false, true);
       break;
     case Result::kConnectFailed:
-      Judge(s, true, true);
+      RecordHealth(s, true, true);
       break;
     case Result::kFull:  // overload is not ill health; what was turned away counts as load, or it would
                          // draw keys
       s.load.value += typical_ / Seconds(kLoadTau);
       break;
     case Result::kCancelled:
-      if (a.overdue && !a.astray) Judge(s, true, false);  // it has answered nobody since
+      if (a.overdue && !a.astray) RecordHealth(s, true, false);  // it has answered nobody since
       break;
     case Result::kMoot:
       break;
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -3,30 +3,30 @@
 
 namespace beechledge {
 
-void Balancer::Core::On(const ServerList& e) {
+void Balancer::Core::HandleEvent(const ServerList& e) {
   const bool first = !attached_;
   attached_ = true;
   startup_.Listed(e.kind, e.old);
   if (e.kind == ListKind::kRefused) {
     asked_ = false;
-    AskIn(list_calls_.Again(now_, Uniform()));
+    ScheduleListCall(list_calls_.Again(now_, Uniform()));
   } else {
     if (e.kind == ListKind::kAll || e.kind == ListKind::kRemembered) {
       for (Server& s : servers_) s.listed = false;
     }
-    for (const ServerEntry& entry : e.entries) Take(entry);
+    for (const ServerEntry& entry : e.entries) ApplyEntry(entry);
     for (ServerId id = 0; id < servers_.size(); ++id) {
       if (servers_[id].listed) continue;
       servers_[id].availability = Availability::kRemoved;
       paces_.Remove(id);  // else the mean of the sizes would go on counting it
     }
-    Recount();
+    RebuildUpServers();
     if (e.kind != ListKind::kRemembered) list_calls_.Told(now_);
   }
-  if (first && set_.list_must_be_asked) AskIn(list_calls_.First(Uniform()));
+  if (first && set_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
 }
 
-void Balancer::Core::Take(const ServerEntry& entry) {
+void Balancer::Core::ApplyEntry(const ServerEntry& entry) {
   if (entry.id >= servers_.size()) servers_.resize(entry.id + 1);
   Server& s = servers_[entry.id];
   const std::uint64_t hash = StableHash(entry.name);
@@ -42,9 +42,9 @@
   s.cell = entry.cell;
   s.availability = entry.availability;
   if (s.stated != entry.started || !s.known) {
-    paces_.Place(entry.id, s.kind, s.zone, StatedSize(entry));
+    paces_.Place(entry.id, s.kind, s.zone, ListedSize(entry));
   } else {
-    paces_.Resize(entry.id, StatedSize(entry));
+    paces_.Resize(entry.id, ListedSize(entry));
   }
   s.known = true;
   if (s.stated != entry.started) {
@@ -56,18 +56,18 @@
     s.failure_share = 0;
     s.failure_streak = 0;
     s.crowded_until = Time(0);
-    HearHall(s, true);
+    RecordZoneResult(s, true);
     s.cold_tokens = Uniform();  // a random start spreads the first sends of many instances over time
     s.cold_at = now_;
   }
 }
 
 // Sizes that vary with the load of the moment say nothing that lasts.
-double Balancer::Core::StatedSize(const ServerEntry& entry) const {
+double Balancer::Core::ListedSize(const ServerEntry& entry) const {
   return set_.weights == Weights::kNominal || set_.weights == Weights::kRough ? entry.scale : 0;
 }
 
-void Balancer::Core::Recount() {
+void Balancer::Core::RebuildUpServers() {
   up_.clear();
   origins_ = 0;
   for (ServerId id = 0; id < servers_.size(); ++id) {
@@ -78,9 +78,9 @@
   if (!held_.empty()) ReleaseHeld();
 }
 
-void Balancer::Core::AskIn(Duration wait) { SetRequestTimer(TimerKind::kAsk, 0, now_ + wait); }
+void Balancer::Core::ScheduleListCall(Duration wait) { SetRequestTimer(TimerKind::kAsk, 0, now_ + wait); }
 
-void Balancer::Core::Ask() {
+void Balancer::Core::SubscribeToList() {
   if (asked_) return;
   asked_ = true;
   out_->push_back(Subscribe{true});
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -12,12 +12,12 @@
   return own;
 }
 
-void Balancer::Core::TakeReport(Server& s, const LoadReport& report) {
+void Balancer::Core::ApplyReport(Server& s, const LoadReport& report) {
   s.report = report;
   s.report_at = now_;
 }
 
-void Balancer::Core::CountInflight(Server& s, int change) {
+void Balancer::Core::AdjustInflight(Server& s, int change) {
   s.load.Hold(now_, kLoadTau, s.inflight);
   if (s.inflight == 0) s.heard = now_;
   s.inflight = std::max(0, s.inflight + change);
@@ -27,7 +27,7 @@
 // a server seldom: what it knows of one comes from few looks.
 // What a young instance has not had the time to see is allowed for, from its first second on: it would
 // take itself for one that sends nothing, and cold servers and health with it.
-double Balancer::Core::LookRate() const {
+double Balancer::Core::SampleRate() const {
   const Duration age = std::max<Duration>(seconds(1), now_ - began_);
   const double seen = Seconds(kRateTau) * (1 - std::exp(-Seconds(age) / Seconds(kRateTau)));
   return served_.Read(now_, kRateTau) / seen / std::max(1, warm_);
@@ -35,13 +35,13 @@
 
 // This instance's share of what a cold server bears is in proportion to what it sends a warm one: summed
 // over all instances that is the load that warm servers are seen to bear, and less than their capacity.
-double Balancer::Core::ColdShare(const Server& s) const {
+double Balancer::Core::RampFraction(const Server& s) const {
   const double age = std::clamp(Seconds(now_ - s.started) / Seconds(set_.rules.ramp), 0.0, 1.0);
   return set_.rules.cold_from + (1 - set_.rules.cold_from) * age;
 }
 
-void Balancer::Core::FillCold(Server& s) const {
-  const double share = ColdShare(s);
+void Balancer::Core::RefillColdTokens(Server& s) const {
+  const double share = RampFraction(s);
   // Guards against warm servers that drown beside cold ones at ease: what is sent to one in excess shows
   // as slow answers long before it falls.
   const ServerId id = static_cast<ServerId>(&s - servers_.data());
@@ -49,21 +49,21 @@
   const bool at_ease = own ? paces_.Slower(id, now_) < kColdAtEase
                            : paces_.ColdLooks(now_) >= kColdLooks && paces_.ColdSlower(now_) < kColdAtEase;
   const double margin = at_ease ? kColdMarginAtEase : kColdMargin;
-  const double rate = margin * set_.rules.fall_multiple * share * BorneRate();
+  const double rate = margin * set_.rules.fall_multiple * share * SustainedRate();
   const double most = std::max(1.0, rate * Seconds(set_.rules.fall) / (at_ease ? 4 : 2));
   s.cold_tokens = std::min(most, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
   s.cold_at = now_;
 }
 
-bool Balancer::Core::ColdRoom(Server& s) const {
-  if (!Cold(s)) return true;
-  FillCold(s);
+bool Balancer::Core::HasColdToken(Server& s) const {
+  if (!IsCold(s)) return true;
+  RefillColdTokens(s);
   return s.cold_tokens >= 1;
 }
 
 // One request more or less at one instance of hundreds is chance: a load above the mean counts in
 // proportion to its evidence.
-double Balancer::Core::Weighed(const Server& s, double load) const {
+double Balancer::Core::EvidenceWeightedLoad(const Server& s, double load) const {
   if (load <= kLIdle) return load;
   const double looks = s.sends.Read(now_, kRateTau);
   const double chance = kLoadEvidence / (looks + kLoadEvidence);
--- a/src/choice/silence.cpp
+++ b/src/choice/silence.cpp
@@ -8,9 +8,9 @@
 // times a usual answer is ejected at once, and what it was to answer goes elsewhere where a repeat is
 // harmless and the retry budget has room. A merely loaded server still answers something, and where all
 // are slow the measure grows with them.
-void Balancer::Core::FindSilent() {
+void Balancer::Core::EjectUnresponsive() {
   if (!times_.Known() || !set_.allowed.cancel) return;
-  const Duration most = std::max<Duration>(PatienceFrom(longest_aim_), 2 * times_.Quantile(0.95));
+  const Duration most = std::max<Duration>(MinPatience(longest_aim_), 2 * times_.Quantile(0.95));
   for (ServerId id : up_) {
     Server& s = servers_[id];
     const bool trial = s.ejected && s.trials > 0;
@@ -18,20 +18,20 @@
     if (s.ejected && !trial) continue;  // known already
     s.heard = now_;
     Eject(s);
-    if (s.ejected) TakeBack(id);
+    if (s.ejected) CancelAttemptsAt(id);
   }
 }
 
 // What the retry budget still bears beside what this very event takes back already. Guards against taking
 // back more than can be asked again: the rest would be refused, though an answer might have come.
-double Balancer::Core::RetryRoom() const {
+double Balancer::Core::RemainingRetryBudget() const {
   return retry_tokens_ - static_cast<double>(std::count_if(out_->begin(), out_->end(), [](const Action& a) {
            return std::holds_alternative<Cancel>(a);
          }));
 }
 
 // Cancels what is out at a server, the newest first: their clients wait longest.
-void Balancer::Core::TakeBack(ServerId id) {
+void Balancer::Core::CancelAttemptsAt(ServerId id) {
   std::vector<Request*> there;
   for (auto& [key, r] : requests_) {
     if (r.ended || r.streaming || r.out != 1 || ClassOf(r).effect != Effect::kSafe) continue;
@@ -40,7 +40,7 @@
   std::sort(there.begin(), there.end(), [](const Request* a, const Request* b) {
     return a->arrived != b->arrived ? a->arrived > b->arrived : a->id > b->id;
   });
-  double room = RetryRoom();
+  double room = RemainingRetryBudget();
   for (Request* r : there) {
     if ((room -= 1) < 0) break;
     r->attempts.back().overdue = true;
@@ -54,18 +54,18 @@
 // by what answers take here and by how second attempts have fared; and while the retry budget lasts. In a
 // tier that is merely slow neither is likelier, and nothing is sent twice. The origin goes on with what
 // it was sent: it gets longer than answers ever take, and keeps all while it is strained.
-void Balancer::Core::FindOverdue() {
+void Balancer::Core::CancelOverdue() {
   if (!times_.Known() || !set_.allowed.cancel) return;
   const Duration slowest = FromSeconds(kPatience * Seconds(times_.Quantile(0.99)));
-  double room = RetryRoom();
+  double room = RemainingRetryBudget();
   for (auto& [key, r] : requests_) {
     if (r.ended || r.streaming || r.out != 1 || !r.attempts.back().out) continue;
     Attempt& a = r.attempts.back();
     const Server& s = servers_[a.server];
     const RequestClass& c = ClassOf(r);
-    const Time last = LastUse(r);
+    const Time last = LatestUsefulTime(r);
     const Duration out = now_ - a.sent;
-    if (out < PatienceFrom(c.aim)) continue;
+    if (out < MinPatience(c.aim)) continue;
     if (std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& o) { return o.overdue; }))
       continue;
     if (static_cast<int>(r.attempts.size()) >= set_.allowed.max_attempts) continue;
@@ -74,7 +74,7 @@
     if (IsOrigin(s)) {
       if (out < slowest || origin_pace_.Strained() || again < 0.5) continue;
     } else {
-      const double stay = HallLost(s) ? 0 : (1 - s.failure_share) * times_.Chance(out, last - now_);
+      const double stay = ZoneDown(s) ? 0 : (1 - s.failure_share) * times_.Chance(out, last - now_);
       if (again < stay + kAgainGains) continue;
     }
     const bool keyed = c.effect == Effect::kKeyed && c.group == Group::kAll && now_ - a.sent < c.window / 2;
@@ -87,7 +87,7 @@
 }
 
 // Until when an answer is worth anything.
-Time Balancer::Core::LastUse(const Request& r) const {
+Time Balancer::Core::LatestUsefulTime(const Request& r) const {
   const Duration aim = ClassOf(r).aim;
   return aim > Duration(0) ? std::min(r.deadline, r.arrived + aim) : r.deadline;
 }
