--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -4,7 +4,7 @@
 namespace beechledge {
 
 void Balancer::Core::Dispatch(Request& r) {
-  if (set_.origin == Origin::kAside && (r.write || r.missed || up_.size() == origins_)) {
+  if (settings_.origin == Origin::kAside && (r.write || r.missed || up_servers_.size() == origin_count_)) {
     if (SendToOrigin(r)) return;
   } else {
     int best = Choose(r, false);
@@ -20,37 +20,37 @@
 // are out as the origin is seen to bear: fetches that fail or come late would only keep it from those
 // that matter.
 bool Balancer::Core::MayFetch(const KeyTable::Entry* entry) const {
-  return origin_pace_.Room(now_) && (entry == nullptr || now_ >= entry->fetch_until);
+  return origin_limiter_.Room(now_) && (entry == nullptr || now_ >= entry->fetch_until);
 }
 
 // May a request held for its fetch go on: has its key come meanwhile, or is there room?
 bool Balancer::Core::HeldFetchReady(const Request& r) {
-  const KeyTable::Entry* entry = keys_.Find(r.key);
+  const KeyTable::Entry* entry = key_table_.Find(r.key);
   if (MayFetch(entry)) return true;
   return entry != nullptr && std::any_of(entry->holders.begin(), entry->holders.end(),
                                          [](const Holder& h) { return h.confirmed; });
 }
 
 bool Balancer::Core::SendTo(Request& r, ServerId id) {
-  KeyTable::Entry* entry = r.keyed_item && !r.write ? &keys_.Touch(r.key, now_) : nullptr;
+  KeyTable::Entry* entry = r.keyed_item && !r.write ? &key_table_.Touch(r.key, now_) : nullptr;
   const Holder* holder = FindHolder(entry, id, servers_[id]);
   const bool kept = holder != nullptr && holder->confirmed;
-  const bool fetch = set_.origin == Origin::kThrough && entry != nullptr && !kept;
+  const bool fetch = settings_.origin == Origin::kThrough && entry != nullptr && !kept;
   r.awaits_fetch = fetch && !MayFetch(entry);
   if (r.awaits_fetch) return false;
   if (!TrySend(r, id, fetch)) return false;
-  if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_pace_.Usual());
+  if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_limiter_.Usual());
   if (entry != nullptr) AddHolder(*entry, id);
-  if (r.attempts.size() == 1 && set_.allowed.parallel_tries && ClassOf(r).effect == Effect::kSafe &&
-      times_.Known()) {
-    SetRequestTimer(TimerKind::kHedge, r.id, now_ + times_.Quantile(0.95) * 5 / 4);
+  if (r.attempts.size() == 1 && settings_.allowed.parallel_tries && ClassOf(r).effect == Effect::kSafe &&
+      answer_times_.Known()) {
+    SetRequestTimer(TimerKind::kHedge, r.id, now_ + answer_times_.Quantile(0.95) * 5 / 4);
   }
   return true;
 }
 
 bool Balancer::Core::SendToOrigin(Request& r) {
   if (!r.write && !MayFetch(nullptr)) return false;
-  for (ServerId id : up_) {
+  for (ServerId id : up_servers_) {
     if (IsOrigin(servers_[id]) && TrySend(r, id, !r.write)) return true;
   }
   return false;
@@ -58,20 +58,20 @@
 
 // Nothing is ready for it now: wait for a server, as long as its client does.
 void Balancer::Core::Hold(Request& r) {
-  if (static_cast<int>(r.attempts.size()) >= set_.allowed.max_attempts ||
+  if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts ||
       (ClassOf(r).effect != Effect::kSafe && r.MayHaveRun())) {
     EndRequest(r);
     return;
   }
   r.held = true;
-  held_.push_back(r.id);
-  if (!held_timer_) SetRequestTimer(TimerKind::kHeld, 0, now_ + kHoldStep);
-  held_timer_ = true;
+  held_requests_.push_back(r.id);
+  if (!held_timer_set_) SetRequestTimer(TimerKind::kHeld, 0, now_ + kHoldStep);
+  held_timer_set_ = true;
 }
 
 void Balancer::Core::ReleaseHeld() {
   std::vector<RequestId> held;
-  held.swap(held_);
+  held.swap(held_requests_);
   // The newest first: where not all can be served, these are still worth something.
   for (auto id = held.rbegin(); id != held.rend(); ++id) {
     const auto it = requests_.find(*id);
@@ -88,7 +88,7 @@
     }
     EraseIfDone(it);
   }
-  std::reverse(held_.begin(), held_.end());
+  std::reverse(held_requests_.begin(), held_requests_.end());
 }
 
 void Balancer::Core::SetRequestTimer(TimerKind kind, RequestId id, Time at) {
@@ -109,12 +109,12 @@
   r.deadline = now_ + std::clamp(e.ttl, Duration(0), Duration(seconds(86400)));
   retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryBudget);
   SetRequestTimer(TimerKind::kDeadline, r.id, r.deadline);
-  paces_.Step(now_);
-  borne_.Hold(now_, kBorneTau, SampleRate());
-  if (!watching_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
-  watching_ = true;
+  latencies_.Step(now_);
+  sustained_answers_.Hold(now_, kBorneTau, SampleRate());
+  if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
+  watch_timer_set_ = true;
   r.shed = ShouldShed(r);
-  if (r.shed && origin_pace_.Strained()) {
+  if (r.shed && origin_limiter_.Strained()) {
     EndRequest(r);
   } else {
     Dispatch(r);
@@ -196,15 +196,15 @@
   const auto [kind, id] = timer->second;
   timers_.erase(timer);
   if (kind == TimerKind::kHeld) {
-    held_timer_ = false;
+    held_timer_set_ = false;
     return ReleaseHeld();
   }
   if (kind == TimerKind::kAsk) return SubscribeToList();
   if (kind == TimerKind::kWatch) {
     EjectUnresponsive();
     CancelOverdue();
-    watching_ = !requests_.empty();
-    if (watching_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
+    watch_timer_set_ = !requests_.empty();
+    if (watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
     return;
   }
   const auto it = requests_.find(id);
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -4,18 +4,18 @@
 namespace beechledge {
 
 Balancer::Core::Core(const Settings& settings, std::uint64_t seed)
-    : set_(settings), random_(seed), list_calls_(settings) {
-  set_.balancers = std::max(1, set_.balancers);
-  set_.allowed.max_attempts = std::max(1, set_.allowed.max_attempts);
-  set_.rules.cold_from = std::clamp(set_.rules.cold_from, 0.0, 1.0);
-  set_.rules.ramp = std::max(set_.rules.ramp, Duration(1));
-  origin_pace_.Start(set_.balancers);
-  for (const RequestClass& c : set_.classes) longest_aim_ = std::max(longest_aim_, c.aim);
+    : settings_(settings), random_(seed), list_calls_(settings) {
+  settings_.balancers = std::max(1, settings_.balancers);
+  settings_.allowed.max_attempts = std::max(1, settings_.allowed.max_attempts);
+  settings_.rules.cold_from = std::clamp(settings_.rules.cold_from, 0.0, 1.0);
+  settings_.rules.ramp = std::max(settings_.rules.ramp, Duration(1));
+  origin_limiter_.Start(settings_.balancers);
+  for (const RequestClass& c : settings_.classes) longest_aim_ = std::max(longest_aim_, c.aim);
 }
 
 void Balancer::Core::Handle(Time now, const Event& event, Actions& out) {
   now_ = std::max(now_, now);  // a clock that steps back stands still
-  if (began_ == Time(0)) began_ = now_;
+  if (first_event_ == Time(0)) first_event_ = now_;
   out_ = &out;
   std::visit([this](const auto& e) { HandleEvent(e); }, event);
   out_ = nullptr;
@@ -23,36 +23,36 @@
 
 Kept Balancer::Core::Keep(Time now, std::size_t most_keys) const {
   Kept kept;
-  for (ServerId id : up_) {
+  for (ServerId id : up_servers_) {
     if (IsOrigin(servers_[id])) continue;
-    kept.servers.push_back(paces_.Keep(id, now));
+    kept.servers.push_back(latencies_.Keep(id, now));
     if (servers_[id].ejected)
       kept.servers.back().avoid = std::max(Duration(0), servers_[id].ejected_until - now);
   }
-  keys_.Each(most_keys, [&](const KeyTable::Entry& entry) {
+  key_table_.Each(most_keys, [&](const KeyTable::Entry& entry) {
     Kept::Key key{entry.key, {}};
     for (const Holder& h : entry.holders) {
       if (servers_[h.server].listed && servers_[h.server].life == h.life) key.holders.push_back(h.server);
     }
     if (!key.holders.empty()) kept.keys.push_back(std::move(key));
   });
-  kept.origin = origin_pace_.Keep();
+  kept.origin = origin_limiter_.Keep();
   return kept;
 }
 // Holders are mapped and not confirmed: what a key's place is, not that it is still there.
 void Balancer::Core::Recall(Time now, const Kept& kept, double faith) {
   now_ = std::max(now_, now);
   faith = std::clamp(faith, 0.0, 1.0);
-  origin_pace_.Recall(kept.origin, faith);
+  origin_limiter_.Recall(kept.origin, faith);
   for (const Kept::Server& s : kept.servers) {
     if (s.id >= servers_.size() || !servers_[s.id].listed) continue;
-    paces_.Recall(s, now_, faith);
+    latencies_.Recall(s, now_, faith);
     if (s.avoid <= Duration(0)) continue;
     servers_[s.id].ejected = true;  // half-open after that: one careful try
     servers_[s.id].ejected_until = now_ + std::min(s.avoid, kEjectMost);
   }
   for (auto key = kept.keys.rbegin(); key != kept.keys.rend(); ++key) {
-    KeyTable::Entry& entry = keys_.Touch(key->key, now_);
+    KeyTable::Entry& entry = key_table_.Touch(key->key, now_);
     if (!entry.holders.empty()) continue;
     for (ServerId id : key->holders) {
       if (id < servers_.size() && servers_[id].listed) entry.holders.push_back({id, servers_[id].life});
@@ -62,11 +62,11 @@
 
 bool Balancer::Core::Avoids(ServerId id) const {
   if (id >= servers_.size() || servers_[id].availability != Availability::kUp) return false;
-  return servers_[id].kind != set_.origin_kind && !Healthy(servers_[id]);
+  return servers_[id].kind != settings_.origin_kind && !Healthy(servers_[id]);
 }
 std::size_t Balancer::Core::Avoided() const {
   return static_cast<std::size_t>(
-      std::count_if(up_.begin(), up_.end(), [&](ServerId id) { return Avoids(id); }));
+      std::count_if(up_servers_.begin(), up_servers_.end(), [&](ServerId id) { return Avoids(id); }));
 }
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed)
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -27,8 +27,8 @@
 // its part of the traffic, whole keys cross, as many as keep its answers from being slower than the
 // other's.
 bool Balancer::Core::PrefersOwnZone(std::uint64_t key) const {
-  if (set_.prices.cross_zone <= 0 || SampleRate() >= 1) return false;
-  return Unit(Mix(key ^ kHomeSalt)) < home_share_.value();
+  if (settings_.prices.cross_zone <= 0 || SampleRate() >= 1) return false;
+  return Unit(Mix(key ^ kHomeSalt)) < own_zone_share_.value();
 }
 
 // A key's order of the servers: the shared hash, weighed by what each is to carry, so that each comes
@@ -45,15 +45,15 @@
 // moving while the origin has no room for the fetch that it costs.
 int Balancer::Core::RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const {
   if (entry == nullptr || entry->holders.empty() || r.write || !MayFetch(entry) ||
-      origin_pace_.NearStrain()) {
+      origin_limiter_.NearStrain()) {
     return -1;
   }
   int home = -1, holder = -1;
   double first = 0, held = 0;
-  for (ServerId id : up_) {
+  for (ServerId id : up_servers_) {
     const Server& s = servers_[id];
-    if (loads_[id] < 0 || r.Tried(id) || (sampled && s.zone != set_.zone)) continue;
-    const double order = orders_[id];
+    if (loads_[id] < 0 || r.Tried(id) || (sampled && s.zone != settings_.zone)) continue;
+    const double order = ranks_[id];
     if (FindHolder(entry, id, s) != nullptr && (holder < 0 || order < held)) {
       holder = static_cast<int>(id);
       held = order;
@@ -63,48 +63,48 @@
     first = order;
   }
   if (holder < 0 || home == holder || first * (1 + kMoveGain) >= held) return -1;
-  const double slower =
-      paces_.Slower(static_cast<ServerId>(holder), now_) - paces_.Slower(static_cast<ServerId>(home), now_);
+  const double slower = latencies_.Slower(static_cast<ServerId>(holder), now_) -
+                        latencies_.Slower(static_cast<ServerId>(home), now_);
   return slower > kMoveSlower ? home : -1;
 }
 
 // The server of the least summed cost among those ready, ties to the highest hash; -1: none is ready.
 // Where every sum is infinite (all overloaded) the order among them is that of the loads.
 int Balancer::Core::Choose(const Request& r, bool spare_ejected) {
-  KeyTable::Entry* entry = r.keyed_item ? &keys_.Touch(r.key, now_) : nullptr;
+  KeyTable::Entry* entry = r.keyed_item ? &key_table_.Touch(r.key, now_) : nullptr;
   loads_.assign(servers_.size(), -1);
-  orders_.resize(servers_.size());
+  ranks_.resize(servers_.size());
   double sum = 0, parts = 0;
   int ready = 0, warm = 0;
-  for (ServerId id : up_) {
+  for (ServerId id : up_servers_) {
     Server& s = servers_[id];
     if (IsOrigin(s)) continue;
     warm += !IsCold(s);
     const double raw = RawLoad(s);
     sum += raw;
-    s.part = paces_.Weight(id) * (IsCold(s) ? std::min(1.0, ColdBudget(s)) : 1);
+    s.part = latencies_.Weight(id) * (IsCold(s) ? std::min(1.0, ColdBudget(s)) : 1);
     parts += s.part;
     ++ready;
     if (!(spare_ejected || Healthy(s)) || !Allowed(r, id) || !HasColdToken(s) || (r.shed && !IsCold(s)))
       continue;
     if (!startup_.MayTry(s.inflight, s.answered >= Time(0))) continue;
     loads_[id] = raw;
-    orders_[id] = RendezvousRank(r.key, s);
+    ranks_[id] = RendezvousRank(r.key, s);
   }
   if (ready == 0) return -1;
-  warm_ = std::max(warm, 1);
+  warm_servers_ = std::max(warm, 1);
   // One request's own mark on the smoothed count is part of the unit, so that one or two cross no
   // threshold.
-  const double mark = typical_ / Seconds(kLoadTau);
+  const double mark = typical_seconds_ / Seconds(kLoadTau);
   // And a server with one request is not loaded, however idle the others are.
-  const double least = 1.0 / set_.balancers;
+  const double least = 1.0 / settings_.balancers;
   const bool sampled = PrefersOwnZone(r.key);
   const int home = RelocationTarget(r, entry, sampled);
   int best = -1;
   double best_cost = 0, best_load = 0;
   bool holder_busy = false, best_away = false;
   double best_order = 0;
-  for (ServerId id : up_) {
+  for (ServerId id : up_servers_) {
     if (loads_[id] < 0) continue;
     const Server& s = servers_[id];
     const double load =
@@ -114,8 +114,8 @@
     const bool again = r.Tried(id);  // a server that failed this request comes after all others
     const double cost =
         CostBalancing(load) + CostLocality(mapped) + CostReplacement(load, mapped) + (again ? 1e6 : 0);
-    const bool away = sampled && s.zone != set_.zone;
-    const double order = orders_[id];
+    const bool away = sampled && s.zone != settings_.zone;
+    const double order = ranks_[id];
     const double tie_load = std::isinf(cost) ? load : 0;
     const bool better =
         best < 0 || std::tie(cost, tie_load, away) < std::tie(best_cost, best_load, best_away) ||
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -43,17 +43,19 @@
   void AdjustInflight(Server& s, int change);
 
   // ---- Cold servers: a budget of sends from the start on, kept by this instance alone ----
-  bool IsCold(const Server& s) const { return s.started > Time(0) && now_ - s.started < set_.rules.ramp; }
+  bool IsCold(const Server& s) const {
+    return s.started > Time(0) && now_ - s.started < settings_.rules.ramp;
+  }
   double SampleRate() const;
   // What a warm one is seen to bear. Guards against cold servers left idle just as warm ones drown: those
   // then answer few, and a budget in proportion to that would fall with them.
   double SustainedRate() const {
-    return std::max(SampleRate(), borne_.Read(now_, kBorneTau, SampleRate()));
+    return std::max(SampleRate(), sustained_answers_.Read(now_, kBorneTau, SampleRate()));
   }
   double RampFraction(const Server& s) const;
   // What a cold server may be sent, of what a warm one is.
   double ColdBudget(const Server& s) const {
-    return kColdMargin * set_.rules.fall_multiple * RampFraction(s);
+    return kColdMargin * settings_.rules.fall_multiple * RampFraction(s);
   }
   void RefillColdTokens(Server& s) const;
   bool HasColdToken(Server& s) const;
@@ -72,13 +74,14 @@
   Time LatestUsefulTime(const Request& r) const;
 
   // ---- Halls: a whole one that falls silent is told from a server in trouble ----
-  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && halls_.Lost(s.zone); }
+  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && zones_.Lost(s.zone); }
   void RecordZoneResult(Server& s, bool answered);
   bool Healthy(const Server& s) const;
 
   // ---- The LARD choice ----
   bool IsOrigin(const Server& s) const {
-    return set_.origin == Origin::kAside && set_.origin_kind >= 0 && s.kind == set_.origin_kind;
+    return settings_.origin == Origin::kAside && settings_.origin_kind >= 0 &&
+           s.kind == settings_.origin_kind;
   }
   static double CostBalancing(double load);
   static double CostLocality(bool mapped) { return mapped ? 1 : kMissCost; }
@@ -86,7 +89,7 @@
   static const Holder* FindHolder(const KeyTable::Entry* entry, ServerId id, const Server& s);
   bool PrefersOwnZone(std::uint64_t key) const;
   void LearnZoneLatency(const Server& s, Duration took) {
-    if (!IsOrigin(s)) home_share_.Learn(now_, s.zone == set_.zone, took);
+    if (!IsOrigin(s)) own_zone_share_.Learn(now_, s.zone == settings_.zone, took);
   }
   static double RendezvousRank(std::uint64_t key, const Server& s);
   int RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const;
@@ -140,37 +143,37 @@
   void SubscribeToList();
   double Uniform() { return Unit(random_()); }
 
-  Settings set_;
+  Settings settings_;
   std::mt19937_64 random_;
-  Time now_{0}, began_{0};
+  Time now_{0}, first_event_{0};
   Actions* out_ = nullptr;
-  std::vector<Server> servers_;         // by ServerId
-  std::vector<ServerId> up_;            // those listed as up
-  std::vector<double> loads_, orders_;  // scratch of Choose; an order counts where a load is set
-  Halls halls_;
+  std::vector<Server> servers_;        // by ServerId
+  std::vector<ServerId> up_servers_;   // those listed as up
+  std::vector<double> loads_, ranks_;  // scratch of Choose; an order counts where a load is set
+  Halls zones_;
   Duration longest_aim_{0};
   double mean_worth_ = 0;  // of the reads asked lately; 0: none yet
-  int warm_ = 1;
-  std::size_t origins_ = 0;
-  double fleet_failure_ = 0;
+  int warm_servers_ = 1;
+  std::size_t origin_count_ = 0;
+  double fleet_failure_share_ = 0;
   bool holder_busy_ = false;  // of the last choice: a holder stood at L_idle or above
-  Paces paces_;
-  KeyTable keys_;
+  Paces latencies_;
+  KeyTable key_table_;
   std::unordered_map<RequestId, Request> requests_;
-  std::vector<RequestId> held_;
+  std::vector<RequestId> held_requests_;
   std::unordered_map<std::uint64_t, std::pair<TimerKind, RequestId>> timers_;
   std::uint64_t last_token_ = 0;
-  Times times_;
-  double typical_ = 0.05;  // seconds of a usual answer
+  Times answer_times_;
+  double typical_seconds_ = 0.05;  // seconds of a usual answer
   double retry_tokens_ = kRetryBurst;
-  HomeShare home_share_;
-  double again_helps_ = 0.9;  // share of overdue attempts whose next one was answered in time
+  HomeShare own_zone_share_;
+  double retry_success_share_ = 0.9;  // share of overdue attempts whose next one was answered in time
   Admission admission_;
-  Smoothed borne_, served_;  // answers, decaying: over kRateTau the rate
-  OriginPace origin_pace_;
+  Smoothed sustained_answers_, answers_;  // answers, decaying: over kRateTau the rate
+  OriginPace origin_limiter_;
   Startup startup_;
   ListCalls list_calls_;
-  bool attached_ = false, asked_ = false, held_timer_ = false, watching_ = false;
+  bool list_received_ = false, subscribed_ = false, held_timer_set_ = false, watch_timer_set_ = false;
 };
 
 }  // namespace beechledge
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -6,7 +6,7 @@
 const RequestClass& Balancer::Core::ClassOf(const Request& r) const {
   static const RequestClass unknown{};  // unsafe, without worth
   const auto i = static_cast<std::size_t>(r.request_class);
-  return r.request_class >= 0 && i < set_.classes.size() ? set_.classes[i] : unknown;
+  return r.request_class >= 0 && i < settings_.classes.size() ? settings_.classes[i] : unknown;
 }
 
 // May this request go to this server now? (Cold budget apart.)
@@ -14,8 +14,8 @@
   const Server& s = servers_[id];
   if (r.ended || r.streaming || now_ >= r.deadline) return false;      // answered, or too late
   if (!s.listed || s.availability != Availability::kUp) return false;  // drains are kept
-  if (static_cast<int>(r.attempts.size()) >= set_.allowed.max_attempts) return false;
-  if (r.out > 0 && !set_.allowed.parallel_tries) return false;
+  if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts) return false;
+  if (r.out > 0 && !settings_.allowed.parallel_tries) return false;
   const RequestClass& c = ClassOf(r);
   if (c.effect == Effect::kSafe) return true;
   for (const Attempt& a : r.attempts) {  // no effect twice
@@ -34,12 +34,12 @@
   if (!Allowed(r, id) || !HasColdToken(s)) return false;
   if (IsCold(s)) s.cold_tokens -= 1;
   if (s.ejected) ++s.trials;
-  if (ZoneDown(s)) halls_.Tried(s.zone, now_);
+  if (ZoneDown(s)) zones_.Tried(s.zone, now_);
   AdjustInflight(s, +1);
   s.sends.Add(now_, kRateTau, 1);
   r.attempts.push_back({id, now_, fetch});
   r.attempts.back().life = s.life;
-  if (fetch) origin_pace_.Begin(now_);
+  if (fetch) origin_limiter_.Begin(now_);
   ++r.out;
   out_->push_back(Send{r.id, id, Duration(0)});
   return true;
@@ -61,7 +61,7 @@
   mean_worth_ += (mean_worth_ > 0 ? 0.01 : 1) * (worth - mean_worth_);
   const double share = admission_.Share(now_);
   if (share >= 1) return false;
-  const double against = set_.worth_by_work ? 1 : std::clamp(mean_worth_ / worth, 0.5, 2.0);
+  const double against = settings_.worth_by_work ? 1 : std::clamp(mean_worth_ / worth, 0.5, 2.0);
   return Uniform() < 1 - std::pow(share, against);
 }
 
@@ -69,13 +69,13 @@
 // request: its next try had better wait as long as clients will. Else about the time in which what is
 // held now gets its turn, spread a little, lest all come back at once.
 Duration Balancer::Core::RetryAfter(const Request& r) {
-  if (!set_.allowed.retry_after) return Duration(0);
-  const Duration most = set_.allowed.max_retry_after;
+  if (!settings_.allowed.retry_after) return Duration(0);
+  const Duration most = settings_.allowed.max_retry_after;
   const Duration aim = ClassOf(r).aim;
   if (aim > Duration(0) && now_ - r.arrived >= aim) return most;
-  const double turns = 1 + static_cast<double>(held_.size()), any = Uniform();
+  const double turns = 1 + static_cast<double>(held_requests_.size()), any = Uniform();
   const double crowd = (1 - admission_.Share(now_)) * Seconds(most) / 2;  // grows with what is turned away
-  return std::min(most, FromSeconds(typical_ * turns * (0.8 + 0.4 * any) + crowd * (0.5 + any)));
+  return std::min(most, FromSeconds(typical_seconds_ * turns * (0.8 + 0.4 * any) + crowd * (0.5 + any)));
 }
 
 // How long a request may be held. Guards against the late refusal of what was never tried: from half of
--- a/src/choice/health.cpp
+++ b/src/choice/health.cpp
@@ -12,7 +12,7 @@
   const double looks = SampleRate() * Seconds(kEjectFirst);
   const int streak = std::clamp(1 + static_cast<int>(looks), 1, kEjectStreak);
   s.failure_share += (looks < 1 && !astray ? 0.5 : kHealthStep) * ((failed ? 1 : 0) - s.failure_share);
-  fleet_failure_ += kHealthStep / 10 * ((failed ? 1 : 0) - fleet_failure_);
+  fleet_failure_share_ += kHealthStep / 10 * ((failed ? 1 : 0) - fleet_failure_share_);
   if (!astray) s.failure_streak = failed ? s.failure_streak + 1 : 0;
   if (s.ejected && now_ >= s.ejected_until) {
     if (!failed) {  // half-open, and it answered
@@ -27,7 +27,7 @@
     if (s.failure_share < 0.05) s.ejections = 0;
     return;
   }
-  const bool worse_than_peers = s.failure_share > 2 * fleet_failure_ + 0.1;
+  const bool worse_than_peers = s.failure_share > 2 * fleet_failure_share_ + 0.1;
   if (!s.ejected && worse_than_peers &&
       (s.failure_share > kEjectShare || (!astray && s.failure_streak >= streak) ||
        (hard && s.failure_streak >= 2))) {
@@ -56,15 +56,15 @@
 // A lost hall is told from a server in trouble.
 void Balancer::Core::RecordZoneResult(Server& s, bool answered) {
   if (IsOrigin(s)) return;
-  if (answered) return halls_.Heard(s.zone);
-  if (!halls_.Failed(s.zone, now_, s.silent_in)) return;
-  for (ServerId id : up_) {  // what is open there leads nowhere
+  if (answered) return zones_.Heard(s.zone);
+  if (!zones_.Failed(s.zone, now_, s.silent_in)) return;
+  for (ServerId id : up_servers_) {  // what is open there leads nowhere
     if (servers_[id].zone == s.zone && !IsOrigin(servers_[id])) out_->push_back(CloseIdle{id});
   }
 }
 
 bool Balancer::Core::Healthy(const Server& s) const {
-  if (ZoneDown(s)) return halls_.MayTry(s.zone, now_);
+  if (ZoneDown(s)) return zones_.MayTry(s.zone, now_);
   return !s.ejected || (now_ >= s.ejected_until && s.trials == 0);
 }
 
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -5,7 +5,7 @@
 
 // What it tells of the key's holders, and of the origin where the origin was asked.
 void Balancer::Core::LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e) {
-  KeyTable::Entry* entry = r.keyed_item ? keys_.Find(r.key) : nullptr;
+  KeyTable::Entry* entry = r.keyed_item ? key_table_.Find(r.key) : nullptr;
   if (entry != nullptr && !NeverRan(e.result) && e.result != Result::kCancelled) {
     // A write voids the kept copies; an error says that the copy is gone and could not be fetched again.
     const bool ok = e.result == Result::kOk, ran = ok || e.result == Result::kSpoilt;
@@ -19,16 +19,16 @@
     }
   }
   if (!a.fetch) return;
-  origin_pace_.End();
+  origin_limiter_.End();
   if (entry != nullptr) entry->fetch_until = Time(-1);
   const double took = Seconds(now_ - a.sent);
   const bool ok = e.result == Result::kOk;
-  if (ok) origin_pace_.Served(took);
+  if (ok) origin_limiter_.Served(took);
   if (e.result == Result::kCancelled || NeverRan(e.result)) return;
   if (ok && e.note == Note::kHit) return;  // it was kept after all: not a word from the origin
   const Duration aim = ClassOf(r).aim;
   const double most = aim > Duration(0) ? Seconds(aim) : INFINITY;
-  origin_pace_.Learn(now_, took, ok, ok || e.result == Result::kSpoilt, most);
+  origin_limiter_.Learn(now_, took, ok, ok || e.result == Result::kSpoilt, most);
 }
 
 // Does another attempt help what was taken back? One that went astray is answered as quickly as any
@@ -40,12 +40,12 @@
     return;
   }
   const bool helped = result == Result::kOk && now_ <= LatestUsefulTime(r);
-  again_helps_ += 0.1 * ((helped ? 1 : 0) - again_helps_);
+  retry_success_share_ += 0.1 * ((helped ? 1 : 0) - retry_success_share_);
 }
 
 void Balancer::Core::LearnServerResult(Server& s, const Request& r, const Attempt& a, const Outcome& e) {
   if (e.result == Result::kTimeout || (e.result == Result::kCancelled && a.overdue)) {
-    times_.AddGivenUp(now_ - a.sent);
+    answer_times_.AddGivenUp(now_ - a.sent);
     if (!ZoneDown(s)) LearnZoneLatency(s, 2 * (now_ - a.sent));
   }
   // In a lost hall no failure is the server's own: it is to be well again as soon as its hall is.
@@ -54,20 +54,21 @@
   if (a.life != s.life) return;
   switch (e.result) {
     case Result::kOk:
-      served_.Add(now_, kRateTau, 1);
+      answers_.Add(now_, kRateTau, 1);
       admission_.Answered(now_, ClassOf(r).aim > Duration(0) && !r.write, now_ > LatestUsefulTime(r));
-      times_.Add(now_ - a.sent);
+      answer_times_.Add(now_ - a.sent);
       LearnZoneLatency(s, now_ - a.sent);
-      if (!a.fetch && !r.write && !IsOrigin(s)) paces_.Answered(e.server, now_, now_ - a.sent, IsCold(s));
-      typical_ += 0.02 * (Seconds(now_ - a.sent) - typical_);
+      if (!a.fetch && !r.write && !IsOrigin(s))
+        latencies_.Answered(e.server, now_, now_ - a.sent, IsCold(s));
+      typical_seconds_ += 0.02 * (Seconds(now_ - a.sent) - typical_seconds_);
       // Where looks are few, load shows only how slow an answer was: one too late to be worth anything is
       // a failure, unless it was late to begin with.
-      RecordHealth(s,
-                   SampleRate() < 1 && now_ > LatestUsefulTime(r) && now_ - a.sent > times_.Quantile(0.95),
-                   false);
+      RecordHealth(
+          s, SampleRate() < 1 && now_ > LatestUsefulTime(r) && now_ - a.sent > answer_times_.Quantile(0.95),
+          false);
       break;
     case Result::kMiss:
-      paces_.Missed(e.server, now_, now_ - a.sent, IsCold(s));
+      latencies_.Missed(e.server, now_, now_ - a.sent, IsCold(s));
       RecordHealth(s, false, false);
       break;
     case Result::kError:
@@ -83,7 +84,7 @@
       break;
     case Result::kFull:  // overload is not ill health; what was turned away counts as load, or it would
                          // draw keys
-      s.load.value += typical_ / Seconds(kLoadTau);
+      s.load.value += typical_seconds_ / Seconds(kLoadTau);
       break;
     case Result::kCancelled:
       if (a.overdue && !a.astray) RecordHealth(s, true, false);  // it has answered nobody since
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -4,11 +4,11 @@
 namespace beechledge {
 
 void Balancer::Core::HandleEvent(const ServerList& e) {
-  const bool first = !attached_;
-  attached_ = true;
+  const bool first = !list_received_;
+  list_received_ = true;
   startup_.Listed(e.kind, e.old);
   if (e.kind == ListKind::kRefused) {
-    asked_ = false;
+    subscribed_ = false;
     ScheduleListCall(list_calls_.Again(now_, Uniform()));
   } else {
     if (e.kind == ListKind::kAll || e.kind == ListKind::kRemembered) {
@@ -18,12 +18,12 @@
     for (ServerId id = 0; id < servers_.size(); ++id) {
       if (servers_[id].listed) continue;
       servers_[id].availability = Availability::kRemoved;
-      paces_.Remove(id);  // else the mean of the sizes would go on counting it
+      latencies_.Remove(id);  // else the mean of the sizes would go on counting it
     }
     RebuildUpServers();
     if (e.kind != ListKind::kRemembered) list_calls_.Told(now_);
   }
-  if (first && set_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
+  if (first && settings_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
 }
 
 void Balancer::Core::ApplyEntry(const ServerEntry& entry) {
@@ -42,9 +42,9 @@
   s.cell = entry.cell;
   s.availability = entry.availability;
   if (s.stated != entry.started || !s.known) {
-    paces_.Place(entry.id, s.kind, s.zone, ListedSize(entry));
+    latencies_.Place(entry.id, s.kind, s.zone, ListedSize(entry));
   } else {
-    paces_.Resize(entry.id, ListedSize(entry));
+    latencies_.Resize(entry.id, ListedSize(entry));
   }
   s.known = true;
   if (s.stated != entry.started) {
@@ -64,25 +64,25 @@
 
 // Sizes that vary with the load of the moment say nothing that lasts.
 double Balancer::Core::ListedSize(const ServerEntry& entry) const {
-  return set_.weights == Weights::kNominal || set_.weights == Weights::kRough ? entry.scale : 0;
+  return settings_.weights == Weights::kNominal || settings_.weights == Weights::kRough ? entry.scale : 0;
 }
 
 void Balancer::Core::RebuildUpServers() {
-  up_.clear();
-  origins_ = 0;
+  up_servers_.clear();
+  origin_count_ = 0;
   for (ServerId id = 0; id < servers_.size(); ++id) {
     if (servers_[id].availability != Availability::kUp) continue;
-    up_.push_back(id);
-    origins_ += IsOrigin(servers_[id]);
+    up_servers_.push_back(id);
+    origin_count_ += IsOrigin(servers_[id]);
   }
-  if (!held_.empty()) ReleaseHeld();
+  if (!held_requests_.empty()) ReleaseHeld();
 }
 
 void Balancer::Core::ScheduleListCall(Duration wait) { SetRequestTimer(TimerKind::kAsk, 0, now_ + wait); }
 
 void Balancer::Core::SubscribeToList() {
-  if (asked_) return;
-  asked_ = true;
+  if (subscribed_) return;
+  subscribed_ = true;
   out_->push_back(Subscribe{true});
 }
 
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -5,10 +5,10 @@
 
 double Balancer::Core::RawLoad(const Server& s) const {
   const bool fresh = s.report_at >= Time(0) && now_ - s.report_at < kReportLife;
-  if (fresh && s.report.inflight) return *s.report.inflight / set_.balancers;
+  if (fresh && s.report.inflight) return *s.report.inflight / settings_.balancers;
   double own = s.load.value;
   if (s.inflight != 0 || own > 1e-6) own = s.load.Read(now_, kLoadTau, s.inflight);
-  if (fresh && s.report.queue) own += std::max(0.0, *s.report.queue) / set_.balancers;
+  if (fresh && s.report.queue) own += std::max(0.0, *s.report.queue) / settings_.balancers;
   return own;
 }
 
@@ -28,16 +28,16 @@
 // What a young instance has not had the time to see is allowed for, from its first second on: it would
 // take itself for one that sends nothing, and cold servers and health with it.
 double Balancer::Core::SampleRate() const {
-  const Duration age = std::max<Duration>(seconds(1), now_ - began_);
+  const Duration age = std::max<Duration>(seconds(1), now_ - first_event_);
   const double seen = Seconds(kRateTau) * (1 - std::exp(-Seconds(age) / Seconds(kRateTau)));
-  return served_.Read(now_, kRateTau) / seen / std::max(1, warm_);
+  return answers_.Read(now_, kRateTau) / seen / std::max(1, warm_servers_);
 }
 
 // This instance's share of what a cold server bears is in proportion to what it sends a warm one: summed
 // over all instances that is the load that warm servers are seen to bear, and less than their capacity.
 double Balancer::Core::RampFraction(const Server& s) const {
-  const double age = std::clamp(Seconds(now_ - s.started) / Seconds(set_.rules.ramp), 0.0, 1.0);
-  return set_.rules.cold_from + (1 - set_.rules.cold_from) * age;
+  const double age = std::clamp(Seconds(now_ - s.started) / Seconds(settings_.rules.ramp), 0.0, 1.0);
+  return settings_.rules.cold_from + (1 - settings_.rules.cold_from) * age;
 }
 
 void Balancer::Core::RefillColdTokens(Server& s) const {
@@ -45,12 +45,13 @@
   // Guards against warm servers that drown beside cold ones at ease: what is sent to one in excess shows
   // as slow answers long before it falls.
   const ServerId id = static_cast<ServerId>(&s - servers_.data());
-  const bool own = paces_.Looks(id, now_) >= kColdLooks;
-  const bool at_ease = own ? paces_.Slower(id, now_) < kColdAtEase
-                           : paces_.ColdLooks(now_) >= kColdLooks && paces_.ColdSlower(now_) < kColdAtEase;
+  const bool own = latencies_.Looks(id, now_) >= kColdLooks;
+  const bool at_ease =
+      own ? latencies_.Slower(id, now_) < kColdAtEase
+          : latencies_.ColdLooks(now_) >= kColdLooks && latencies_.ColdSlower(now_) < kColdAtEase;
   const double margin = at_ease ? kColdMarginAtEase : kColdMargin;
-  const double rate = margin * set_.rules.fall_multiple * share * SustainedRate();
-  const double most = std::max(1.0, rate * Seconds(set_.rules.fall) / (at_ease ? 4 : 2));
+  const double rate = margin * settings_.rules.fall_multiple * share * SustainedRate();
+  const double most = std::max(1.0, rate * Seconds(settings_.rules.fall) / (at_ease ? 4 : 2));
   s.cold_tokens = std::min(most, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
   s.cold_at = now_;
 }
