--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -11,7 +11,7 @@
     if (best < 0) best = Choose(r, true);
     if (best >= 0 && SendTo(r, static_cast<ServerId>(best))) return;
   }
-  if (r.out > 0) return;
+  if (r.outstanding > 0) return;
   if (r.shed && r.attempts.empty()) return EndRequest(r);
   Hold(r);
 }
@@ -32,7 +32,7 @@
 }
 
 bool Balancer::Core::SendTo(Request& r, ServerId id) {
-  KeyTable::Entry* entry = r.keyed_item && !r.write ? &key_table_.Touch(r.key, now_) : nullptr;
+  KeyTable::Entry* entry = r.keyed && !r.write ? &key_table_.Touch(r.key, now_) : nullptr;
   const Holder* holder = FindHolder(entry, id, servers_[id]);
   const bool kept = holder != nullptr && holder->confirmed;
   const bool fetch = settings_.origin == Origin::kThrough && entry != nullptr && !kept;
@@ -103,7 +103,7 @@
   r.id = e.id;
   r.request_class = e.request_class;
   r.write = e.write;
-  r.keyed_item = e.key.has_value();
+  r.keyed = e.key.has_value();
   r.key = e.key ? StableHash(*e.key) : random_();
   r.arrived = now_;
   r.deadline = now_ + std::clamp(e.ttl, Duration(0), Duration(seconds(86400)));
@@ -137,20 +137,21 @@
   if (it == requests_.end()) return;
   Request& r = it->second;
   const auto i = static_cast<std::size_t>(e.attempt);
-  if (e.attempt < 0 || i >= r.attempts.size() || !r.attempts[i].out) return;
+  if (e.attempt < 0 || i >= r.attempts.size() || !r.attempts[i].outstanding) return;
   Attempt& a = r.attempts[i];
-  if (e.result != Result::kTimeout && e.result != Result::kCancelled) s.heard = s.answered = now_;
-  a.out = false;
+  if (e.result != Result::kTimeout && e.result != Result::kCancelled)
+    s.last_activity = s.last_answer = now_;
+  a.outstanding = false;
   a.may_have_run = !NeverRan(e.result);
-  a.astray |= e.result == Result::kSpoilt || e.result == Result::kReset;
-  --r.out;
+  a.lost_in_transit |= e.result == Result::kSpoilt || e.result == Result::kReset;
+  --r.outstanding;
   AdjustInflight(s, -1);
-  if (s.trials > 0) --s.trials;
+  if (s.trial_attempts > 0) --s.trial_attempts;
   // A server takes few connections; where it refuses one, an idle one is better given back to the other
   // balancers, and where it is gone, an idle one leads nowhere. Says nothing of other servers: guards
   // against one lost server costing a handshake with every attempt at all others, at every balancer.
-  if (e.result == Result::kConnectFailed) s.crowded_until = now_ + kCrowdedSpell;
-  if (s.inflight == 0 && now_ < s.crowded_until) out_->push_back(CloseIdle{e.server});
+  if (e.result == Result::kConnectFailed) s.close_idle_until = now_ + kCrowdedSpell;
+  if (s.inflight == 0 && now_ < s.close_idle_until) out_->push_back(CloseIdle{e.server});
   if (e.complete) MarkEnded(r);
   const bool answered = e.result != Result::kTimeout && e.result != Result::kConnectFailed;
   if (e.result != Result::kMoot && (e.result != Result::kCancelled || a.overdue)) {
@@ -170,13 +171,13 @@
     Dispatch(r);
     return;
   }
-  if (r.out > 0) return;  // another attempt may still answer
+  if (r.outstanding > 0) return;  // another attempt may still answer
   const bool free_to_repeat =
       r.attempts.size() == 1 && (result == Result::kConnectFailed || result == Result::kReset);
   if (now_ < r.deadline && (free_to_repeat || retry_tokens_ >= 1)) {
     if (!free_to_repeat) retry_tokens_ -= 1;
     Dispatch(r);
-    if (r.out > 0 || r.held) return;
+    if (r.outstanding > 0 || r.held) return;
   }
   EndRequest(r);
 }
@@ -199,7 +200,7 @@
     held_timer_set_ = false;
     return ReleaseHeld();
   }
-  if (kind == TimerKind::kAsk) return SubscribeToList();
+  if (kind == TimerKind::kListCall) return SubscribeToList();
   if (kind == TimerKind::kWatch) {
     EjectUnresponsive();
     CancelOverdue();
@@ -212,9 +213,9 @@
   Request& r = it->second;
   if (kind == TimerKind::kDeadline) {
     EndRequest(r);
-  } else if (kind == TimerKind::kHedge && r.out == 1 && retry_tokens_ >= 1) {
+  } else if (kind == TimerKind::kHedge && r.outstanding == 1 && retry_tokens_ >= 1) {
     const int best = Choose(r, false);
-    if (best >= 0 && !r.Tried(static_cast<ServerId>(best)) && SendTo(r, static_cast<ServerId>(best))) {
+    if (best >= 0 && !r.HasTried(static_cast<ServerId>(best)) && SendTo(r, static_cast<ServerId>(best))) {
       retry_tokens_ -= 1;
     }
   }
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -32,7 +32,8 @@
   key_table_.Each(most_keys, [&](const KeyTable::Entry& entry) {
     Kept::Key key{entry.key, {}};
     for (const Holder& h : entry.holders) {
-      if (servers_[h.server].listed && servers_[h.server].life == h.life) key.holders.push_back(h.server);
+      if (servers_[h.server].listed && servers_[h.server].incarnation == h.incarnation)
+        key.holders.push_back(h.server);
     }
     if (!key.holders.empty()) kept.keys.push_back(std::move(key));
   });
@@ -55,7 +56,8 @@
     KeyTable::Entry& entry = key_table_.Touch(key->key, now_);
     if (!entry.holders.empty()) continue;
     for (ServerId id : key->holders) {
-      if (id < servers_.size() && servers_[id].listed) entry.holders.push_back({id, servers_[id].life});
+      if (id < servers_.size() && servers_[id].listed)
+        entry.holders.push_back({id, servers_[id].incarnation});
     }
   }
 }
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -15,8 +15,9 @@
 // The key's holder at this server in its present life, if the server is mapped.
 const Holder* Balancer::Core::FindHolder(const KeyTable::Entry* entry, ServerId id, const Server& s) {
   if (entry == nullptr) return nullptr;
-  const auto h = std::find_if(entry->holders.begin(), entry->holders.end(),
-                              [&](const Holder& o) { return o.server == id && o.life == s.life; });
+  const auto h = std::find_if(entry->holders.begin(), entry->holders.end(), [&](const Holder& o) {
+    return o.server == id && o.incarnation == s.incarnation;
+  });
   return h == entry->holders.end() ? nullptr : &*h;
 }
 
@@ -35,7 +36,7 @@
 // first for its part of the keys, and a part that changes moves just the keys that differ (weighted
 // rendezvous hashing). Least first; with equal parts it is the order of the hash, highest first.
 double Balancer::Core::RendezvousRank(std::uint64_t key, const Server& s) {
-  return -std::log(Unit(PairHash(key, s.hash)) + 0x1.0p-54) / s.part;
+  return -std::log(Unit(PairHash(key, s.hash)) + 0x1.0p-54) / s.expected_share;
 }
 
 // Where the key's order has moved its place away from its holders (a server carries more, or a holder
@@ -52,7 +53,7 @@
   double first = 0, held = 0;
   for (ServerId id : up_servers_) {
     const Server& s = servers_[id];
-    if (loads_[id] < 0 || r.Tried(id) || (sampled && s.zone != settings_.zone)) continue;
+    if (loads_[id] < 0 || r.HasTried(id) || (sampled && s.zone != settings_.zone)) continue;
     const double order = ranks_[id];
     if (FindHolder(entry, id, s) != nullptr && (holder < 0 || order < held)) {
       holder = static_cast<int>(id);
@@ -71,7 +72,7 @@
 // The server of the least summed cost among those ready, ties to the highest hash; -1: none is ready.
 // Where every sum is infinite (all overloaded) the order among them is that of the loads.
 int Balancer::Core::Choose(const Request& r, bool spare_ejected) {
-  KeyTable::Entry* entry = r.keyed_item ? &key_table_.Touch(r.key, now_) : nullptr;
+  KeyTable::Entry* entry = r.keyed ? &key_table_.Touch(r.key, now_) : nullptr;
   loads_.assign(servers_.size(), -1);
   ranks_.resize(servers_.size());
   double sum = 0, parts = 0;
@@ -82,12 +83,12 @@
     warm += !IsCold(s);
     const double raw = RawLoad(s);
     sum += raw;
-    s.part = latencies_.Weight(id) * (IsCold(s) ? std::min(1.0, ColdBudget(s)) : 1);
-    parts += s.part;
+    s.expected_share = latencies_.Weight(id) * (IsCold(s) ? std::min(1.0, ColdBudget(s)) : 1);
+    parts += s.expected_share;
     ++ready;
     if (!(spare_ejected || Healthy(s)) || !Allowed(r, id) || !HasColdToken(s) || (r.shed && !IsCold(s)))
       continue;
-    if (!startup_.MayTry(s.inflight, s.answered >= Time(0))) continue;
+    if (!startup_.MayTry(s.inflight, s.last_answer >= Time(0))) continue;
     loads_[id] = raw;
     ranks_[id] = RendezvousRank(r.key, s);
   }
@@ -107,11 +108,11 @@
   for (ServerId id : up_servers_) {
     if (loads_[id] < 0) continue;
     const Server& s = servers_[id];
-    const double load =
-        EvidenceWeightedLoad(s, kMeanLoad * loads_[id] / std::max(sum / parts * s.part + mark, least));
+    const double load = EvidenceWeightedLoad(
+        s, kMeanLoad * loads_[id] / std::max(sum / parts * s.expected_share + mark, least));
     const bool mapped = FindHolder(entry, id, s) != nullptr || static_cast<int>(id) == home;
     holder_busy |= mapped && load >= kLIdle;
-    const bool again = r.Tried(id);  // a server that failed this request comes after all others
+    const bool again = r.HasTried(id);  // a server that failed this request comes after all others
     const double cost =
         CostBalancing(load) + CostLocality(mapped) + CostReplacement(load, mapped) + (again ? 1e6 : 0);
     const bool away = sampled && s.zone != settings_.zone;
@@ -135,11 +136,11 @@
 void Balancer::Core::AddHolder(KeyTable::Entry& entry, ServerId id) {
   std::erase_if(entry.holders, [&](const Holder& h) {
     const Server& s = servers_[h.server];
-    return !s.listed || s.life != h.life;
+    return !s.listed || s.incarnation != h.incarnation;
   });
   if (holder_busy_) entry.busy_at = now_;
   if (FindHolder(&entry, id, servers_[id]) == nullptr) {
-    entry.holders.push_back({id, servers_[id].life});
+    entry.holders.push_back({id, servers_[id].incarnation});
     entry.busy_at = now_;
   } else if (entry.holders.size() > 1 && now_ - entry.busy_at > kQuietSpell) {
     const auto last = std::min_element(entry.holders.begin(), entry.holders.end(), [&](auto& a, auto& b) {
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -61,7 +61,7 @@
   bool HasColdToken(Server& s) const;
 
   // ---- Health: outcomes against those of the peers ----
-  void RecordHealth(Server& s, bool failed, bool hard, bool astray = false);
+  void RecordHealth(Server& s, bool failed, bool hard, bool lost_in_transit = false);
   void Eject(Server& s);
   // The least patience that an aim leaves. (A fixed time was longer than the whole aim where all is quick.)
   static Duration MinPatience(Duration aim) {
@@ -120,7 +120,7 @@
   void ReleaseHeld();
   void SetRequestTimer(TimerKind kind, RequestId id, Time at);
   void EraseIfDone(std::unordered_map<RequestId, Request>::iterator it) {
-    if (it->second.ended && it->second.out == 0) requests_.erase(it);
+    if (it->second.ended && it->second.outstanding == 0) requests_.erase(it);
   }
   void HandleEvent(const NewRequest& e);
   void HandleEvent(const ClientGone& e);
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -15,7 +15,7 @@
   if (r.ended || r.streaming || now_ >= r.deadline) return false;      // answered, or too late
   if (!s.listed || s.availability != Availability::kUp) return false;  // drains are kept
   if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts) return false;
-  if (r.out > 0 && !settings_.allowed.parallel_tries) return false;
+  if (r.outstanding > 0 && !settings_.allowed.parallel_tries) return false;
   const RequestClass& c = ClassOf(r);
   if (c.effect == Effect::kSafe) return true;
   for (const Attempt& a : r.attempts) {  // no effect twice
@@ -33,14 +33,14 @@
   Server& s = servers_[id];
   if (!Allowed(r, id) || !HasColdToken(s)) return false;
   if (IsCold(s)) s.cold_tokens -= 1;
-  if (s.ejected) ++s.trials;
+  if (s.ejected) ++s.trial_attempts;
   if (ZoneDown(s)) zones_.Tried(s.zone, now_);
   AdjustInflight(s, +1);
   s.sends.Add(now_, kRateTau, 1);
   r.attempts.push_back({id, now_, fetch});
-  r.attempts.back().life = s.life;
+  r.attempts.back().incarnation = s.incarnation;
   if (fetch) origin_limiter_.Begin(now_);
-  ++r.out;
+  ++r.outstanding;
   out_->push_back(Send{r.id, id, Duration(0)});
   return true;
 }
--- a/src/choice/health.cpp
+++ b/src/choice/health.cpp
@@ -6,14 +6,15 @@
 // An attempt that went astray counts in the share but not in a streak: the server works, and a few of
 // them by chance must not take it out. (Resets on all servers alike once filled kEjectCap, and a server
 // that hung stayed in.)
-void Balancer::Core::RecordHealth(Server& s, bool failed, bool hard, bool astray) {
+void Balancer::Core::RecordHealth(Server& s, bool failed, bool hard, bool lost_in_transit) {
   // A second's looks make the evidence: where they are one or none, one failure is all that there will
   // be, and waiting for three costs as many requests at each balancer of the fleet.
   const double looks = SampleRate() * Seconds(kEjectFirst);
   const int streak = std::clamp(1 + static_cast<int>(looks), 1, kEjectStreak);
-  s.failure_share += (looks < 1 && !astray ? 0.5 : kHealthStep) * ((failed ? 1 : 0) - s.failure_share);
+  s.failure_share +=
+      (looks < 1 && !lost_in_transit ? 0.5 : kHealthStep) * ((failed ? 1 : 0) - s.failure_share);
   fleet_failure_share_ += kHealthStep / 10 * ((failed ? 1 : 0) - fleet_failure_share_);
-  if (!astray) s.failure_streak = failed ? s.failure_streak + 1 : 0;
+  if (!lost_in_transit) s.failure_streak = failed ? s.failure_streak + 1 : 0;
   if (s.ejected && now_ >= s.ejected_until) {
     if (!failed) {  // half-open, and it answered
       s.ejected = false;
@@ -29,7 +30,7 @@
   }
   const bool worse_than_peers = s.failure_share > 2 * fleet_failure_share_ + 0.1;
   if (!s.ejected && worse_than_peers &&
-      (s.failure_share > kEjectShare || (!astray && s.failure_streak >= streak) ||
+      (s.failure_share > kEjectShare || (!lost_in_transit && s.failure_streak >= streak) ||
        (hard && s.failure_streak >= 2))) {
     Eject(s);
   }
@@ -57,7 +58,7 @@
 void Balancer::Core::RecordZoneResult(Server& s, bool answered) {
   if (IsOrigin(s)) return;
   if (answered) return zones_.Heard(s.zone);
-  if (!zones_.Failed(s.zone, now_, s.silent_in)) return;
+  if (!zones_.Failed(s.zone, now_, s.counted_outage)) return;
   for (ServerId id : up_servers_) {  // what is open there leads nowhere
     if (servers_[id].zone == s.zone && !IsOrigin(servers_[id])) out_->push_back(CloseIdle{id});
   }
@@ -65,7 +66,7 @@
 
 bool Balancer::Core::Healthy(const Server& s) const {
   if (ZoneDown(s)) return zones_.MayTry(s.zone, now_);
-  return !s.ejected || (now_ >= s.ejected_until && s.trials == 0);
+  return !s.ejected || (now_ >= s.ejected_until && s.trial_attempts == 0);
 }
 
 }  // namespace beechledge
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -5,12 +5,12 @@
 
 // What it tells of the key's holders, and of the origin where the origin was asked.
 void Balancer::Core::LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e) {
-  KeyTable::Entry* entry = r.keyed_item ? key_table_.Find(r.key) : nullptr;
+  KeyTable::Entry* entry = r.keyed ? key_table_.Find(r.key) : nullptr;
   if (entry != nullptr && !NeverRan(e.result) && e.result != Result::kCancelled) {
     // A write voids the kept copies; an error says that the copy is gone and could not be fetched again.
     const bool ok = e.result == Result::kOk, ran = ok || e.result == Result::kSpoilt;
     for (Holder& h : entry->holders) {
-      const bool here = h.server == a.server && h.life == a.life;
+      const bool here = h.server == a.server && h.incarnation == a.incarnation;
       if (r.write && ran) {
         h.confirmed = false;
       } else if (here && !r.write && e.result != Result::kSpoilt) {
@@ -51,7 +51,7 @@
   // In a lost hall no failure is the server's own: it is to be well again as soon as its hall is.
   if (ZoneDown(s)) return;
   // Guards against taking a server out for what its process before the last start failed.
-  if (a.life != s.life) return;
+  if (a.incarnation != s.incarnation) return;
   switch (e.result) {
     case Result::kOk:
       answers_.Add(now_, kRateTau, 1);
@@ -87,7 +87,7 @@
       s.load.value += typical_seconds_ / Seconds(kLoadTau);
       break;
     case Result::kCancelled:
-      if (a.overdue && !a.astray) RecordHealth(s, true, false);  // it has answered nobody since
+      if (a.overdue && !a.lost_in_transit) RecordHealth(s, true, false);  // it has answered nobody since
       break;
     case Result::kMoot:
       break;
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -30,10 +30,10 @@
   if (entry.id >= servers_.size()) servers_.resize(entry.id + 1);
   Server& s = servers_[entry.id];
   const std::uint64_t hash = StableHash(entry.name);
-  if (s.hash != 0 && s.hash != hash) {      // another server under the id of one that is gone
-    const std::uint32_t life = s.life + 1;  // the keys that the old one held are not its own
+  if (s.hash != 0 && s.hash != hash) {                    // another server under the id of one that is gone
+    const std::uint32_t incarnation = s.incarnation + 1;  // the keys that the old one held are not its own
     s = {};
-    s.life = life;
+    s.incarnation = incarnation;
   }
   s.hash = hash;
   s.listed = entry.availability != Availability::kRemoved;
@@ -41,21 +41,21 @@
   s.kind = entry.kind;
   s.cell = entry.cell;
   s.availability = entry.availability;
-  if (s.stated != entry.started || !s.known) {
+  if (s.listed_start != entry.started || !s.known) {
     latencies_.Place(entry.id, s.kind, s.zone, ListedSize(entry));
   } else {
     latencies_.Resize(entry.id, ListedSize(entry));
   }
   s.known = true;
-  if (s.stated != entry.started) {
-    s.stated = entry.started;
+  if (s.listed_start != entry.started) {
+    s.listed_start = entry.started;
     // Guards against a start that lies ahead, by a clock that is wrong: it would stay cold until then.
     s.started = std::min(entry.started, now_);
-    ++s.life;
+    ++s.incarnation;
     s.ejected = false;
     s.failure_share = 0;
     s.failure_streak = 0;
-    s.crowded_until = Time(0);
+    s.close_idle_until = Time(0);
     RecordZoneResult(s, true);
     s.cold_tokens = Uniform();  // a random start spreads the first sends of many instances over time
     s.cold_at = now_;
@@ -78,7 +78,9 @@
   if (!held_requests_.empty()) ReleaseHeld();
 }
 
-void Balancer::Core::ScheduleListCall(Duration wait) { SetRequestTimer(TimerKind::kAsk, 0, now_ + wait); }
+void Balancer::Core::ScheduleListCall(Duration wait) {
+  SetRequestTimer(TimerKind::kListCall, 0, now_ + wait);
+}
 
 void Balancer::Core::SubscribeToList() {
   if (subscribed_) return;
--- a/src/choice/records.h
+++ b/src/choice/records.h
@@ -16,13 +16,13 @@
   std::uint64_t hash = 0;
   int zone = 0, kind = 0, cell = 0;
   Availability availability = Availability::kRemoved;
-  Time started{0}, stated{0};  // its last start; as the list has it, be it in the future
-  std::uint32_t life = 0;      // counts restarts: what it held before is gone
+  Time started{0}, listed_start{0};  // its last start; as the list has it, be it in the future
+  std::uint32_t incarnation = 0;     // counts restarts: what it held before is gone
 
   int inflight = 0;
-  Time heard{0};      // when it last answered anything, or was given work while it had none
-  Time answered{-1};  // when it last answered anything
-  Smoothed load;      // of own in-flight
+  Time last_activity{0};  // when it last answered anything, or was given work while it had none
+  Time last_answer{-1};   // when it last answered anything
+  Smoothed load;          // of own in-flight
   LoadReport report;
   Time report_at{-1};
 
@@ -32,37 +32,38 @@
   int ejections = 0;
   Time ejected_until{0};
   bool ejected = false;
-  int trials = 0;  // half-open: attempts out on trial
+  int trial_attempts = 0;  // half-open: attempts out on trial
 
   double cold_tokens = 0;
   Time cold_at{0};
-  double part = 1;  // scratch of Choose: what it is to carry, 1 for a warm server of mean capacity
-  std::uint32_t silent_in = 0;  // the spell of its hall's silence that it has been counted in
-  Time crowded_until{0};        // it refused a connection: idle ones are given back
+  double expected_share =
+      1;  // scratch of Choose: what it is to carry, 1 for a warm server of mean capacity
+  std::uint32_t counted_outage = 0;  // the spell of its hall's silence that it has been counted in
+  Time close_idle_until{0};          // it refused a connection: idle ones are given back
 };
 
 struct Attempt {
   ServerId server;
   Time sent;
   bool fetch = false;  // a miss is likely: the origin will be asked
-  bool out = true;
+  bool outstanding = true;
   bool may_have_run = true;
-  bool overdue = false;    // taken back for taking too long
-  std::uint32_t life = 0;  // of its server, when it was sent
+  bool overdue = false;           // taken back for taking too long
+  std::uint32_t incarnation = 0;  // of its server, when it was sent
   // It ended by something on its way, a spoilt answer or a broken or silent connection, while its server
   // was at work for others.
-  bool astray = false;
+  bool lost_in_transit = false;
 };
 
 struct Request {
   RequestId id = 0;
   int request_class = 0;
-  bool keyed_item = false;
+  bool keyed = false;
   bool write = false;
   std::uint64_t key = 0;
   Time arrived{0}, deadline{0};
   std::vector<Attempt> attempts;
-  int out = 0;
+  int outstanding = 0;
   bool ended = false;
   bool streaming = false;
   bool held = false;
@@ -75,14 +76,15 @@
   }
   // Has this server failed it? Guards against leaving a key's holder, and fetching what it holds, for one
   // attempt that went astray; a second one counts.
-  bool Tried(ServerId s) const {
-    int astray = 0;
-    return std::any_of(attempts.begin(), attempts.end(),
-                       [&](const Attempt& a) { return a.server == s && (!a.astray || ++astray > 1); });
+  bool HasTried(ServerId s) const {
+    int lost_in_transit = 0;
+    return std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& a) {
+      return a.server == s && (!a.lost_in_transit || ++lost_in_transit > 1);
+    });
   }
 };
 
-enum class TimerKind { kDeadline, kHedge, kHeld, kAsk, kWatch };
+enum class TimerKind { kDeadline, kHedge, kHeld, kListCall, kWatch };
 
 }  // namespace beechledge::choice
 
--- a/src/choice/silence.cpp
+++ b/src/choice/silence.cpp
@@ -13,10 +13,10 @@
   const Duration most = std::max<Duration>(MinPatience(longest_aim_), 2 * answer_times_.Quantile(0.95));
   for (ServerId id : up_servers_) {
     Server& s = servers_[id];
-    const bool trial = s.ejected && s.trials > 0;
-    if (s.inflight < (trial ? 1 : kSilentFrom) || now_ - s.heard < most || IsOrigin(s)) continue;
+    const bool trial = s.ejected && s.trial_attempts > 0;
+    if (s.inflight < (trial ? 1 : kSilentFrom) || now_ - s.last_activity < most || IsOrigin(s)) continue;
     if (s.ejected && !trial) continue;  // known already
-    s.heard = now_;
+    s.last_activity = now_;
     Eject(s);
     if (s.ejected) CancelAttemptsAt(id);
   }
@@ -34,8 +34,8 @@
 void Balancer::Core::CancelAttemptsAt(ServerId id) {
   std::vector<Request*> there;
   for (auto& [key, r] : requests_) {
-    if (r.ended || r.streaming || r.out != 1 || ClassOf(r).effect != Effect::kSafe) continue;
-    if (r.attempts.back().out && r.attempts.back().server == id) there.push_back(&r);
+    if (r.ended || r.streaming || r.outstanding != 1 || ClassOf(r).effect != Effect::kSafe) continue;
+    if (r.attempts.back().outstanding && r.attempts.back().server == id) there.push_back(&r);
   }
   std::sort(there.begin(), there.end(), [](const Request* a, const Request* b) {
     return a->arrived != b->arrived ? a->arrived > b->arrived : a->id > b->id;
@@ -59,7 +59,7 @@
   const Duration slowest = FromSeconds(kPatience * Seconds(answer_times_.Quantile(0.99)));
   double room = RemainingRetryBudget();
   for (auto& [key, r] : requests_) {
-    if (r.ended || r.streaming || r.out != 1 || !r.attempts.back().out) continue;
+    if (r.ended || r.streaming || r.outstanding != 1 || !r.attempts.back().outstanding) continue;
     Attempt& a = r.attempts.back();
     const Server& s = servers_[a.server];
     const RequestClass& c = ClassOf(r);
@@ -81,7 +81,7 @@
     if (c.effect != Effect::kSafe && !keyed) continue;
     if ((room -= 1) < 0) break;
     a.overdue = true;
-    a.astray = s.answered > a.sent;
+    a.lost_in_transit = s.last_answer > a.sent;
     out_->emplace_back(Cancel{r.id, static_cast<int>(r.attempts.size()) - 1});
   }
 }
--- a/src/sight/key_table.h
+++ b/src/sight/key_table.h
@@ -12,7 +12,7 @@
 
 struct Holder {
   ServerId server;
-  std::uint32_t life;
+  std::uint32_t incarnation;
   bool confirmed = false;  // it has answered for this key
 };
 
