--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -65,7 +65,7 @@
   }
   r.held = true;
   held_requests_.push_back(r.id);
-  if (!held_timer_set_) SetRequestTimer(TimerKind::kHeld, 0, now_ + kHoldStep);
+  if (!held_timer_set_) SetRequestTimer(TimerKind::kHeld, 0, now_ + kHoldRetryInterval);
   held_timer_set_ = true;
 }
 
@@ -110,8 +110,8 @@
   retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryBudget);
   SetRequestTimer(TimerKind::kDeadline, r.id, r.deadline);
   latencies_.Step(now_);
-  sustained_answers_.Hold(now_, kBorneTau, SampleRate());
-  if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
+  sustained_answers_.Hold(now_, kSustainedTau, SampleRate());
+  if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchInterval);
   watch_timer_set_ = true;
   r.shed = ShouldShed(r);
   if (r.shed && origin_limiter_.Strained()) {
@@ -150,7 +150,7 @@
   // A server takes few connections; where it refuses one, an idle one is better given back to the other
   // balancers, and where it is gone, an idle one leads nowhere. Says nothing of other servers: guards
   // against one lost server costing a handshake with every attempt at all others, at every balancer.
-  if (e.result == Result::kConnectFailed) s.close_idle_until = now_ + kCrowdedSpell;
+  if (e.result == Result::kConnectFailed) s.close_idle_until = now_ + kCloseIdleTime;
   if (s.inflight == 0 && now_ < s.close_idle_until) out_->push_back(CloseIdle{e.server});
   if (e.complete) MarkEnded(r);
   const bool answered = e.result != Result::kTimeout && e.result != Result::kConnectFailed;
@@ -205,7 +205,7 @@
     EjectUnresponsive();
     CancelOverdue();
     watch_timer_set_ = !requests_.empty();
-    if (watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchStep);
+    if (watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchInterval);
     return;
   }
   const auto it = requests_.find(id);
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -50,7 +50,7 @@
     latencies_.Recall(s, now_, faith);
     if (s.avoid <= Duration(0)) continue;
     servers_[s.id].ejected = true;  // half-open after that: one careful try
-    servers_[s.id].ejected_until = now_ + std::min(s.avoid, kEjectMost);
+    servers_[s.id].ejected_until = now_ + std::min(s.avoid, kEjectMax);
   }
   for (auto key = kept.keys.rbegin(); key != kept.keys.rend(); ++key) {
     KeyTable::Entry& entry = key_table_.Touch(key->key, now_);
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -29,7 +29,7 @@
 // other's.
 bool Balancer::Core::PrefersOwnZone(std::uint64_t key) const {
   if (settings_.prices.cross_zone <= 0 || SampleRate() >= 1) return false;
-  return Unit(Mix(key ^ kHomeSalt)) < own_zone_share_.value();
+  return Unit(Mix(key ^ kOwnZoneSalt)) < own_zone_share_.value();
 }
 
 // A key's order of the servers: the shared hash, weighed by what each is to carry, so that each comes
@@ -63,10 +63,10 @@
     home = static_cast<int>(id);
     first = order;
   }
-  if (holder < 0 || home == holder || first * (1 + kMoveGain) >= held) return -1;
+  if (holder < 0 || home == holder || first * (1 + kRelocationGain) >= held) return -1;
   const double slower = latencies_.Slower(static_cast<ServerId>(holder), now_) -
                         latencies_.Slower(static_cast<ServerId>(home), now_);
-  return slower > kMoveSlower ? home : -1;
+  return slower > kRelocationSlower ? home : -1;
 }
 
 // The server of the least summed cost among those ready, ties to the highest hash; -1: none is ready.
@@ -142,7 +142,7 @@
   if (FindHolder(&entry, id, servers_[id]) == nullptr) {
     entry.holders.push_back({id, servers_[id].incarnation});
     entry.busy_at = now_;
-  } else if (entry.holders.size() > 1 && now_ - entry.busy_at > kQuietSpell) {
+  } else if (entry.holders.size() > 1 && now_ - entry.busy_at > kHolderIdleTime) {
     const auto last = std::min_element(entry.holders.begin(), entry.holders.end(), [&](auto& a, auto& b) {
       return PairHash(entry.key, servers_[a.server].hash) < PairHash(entry.key, servers_[b.server].hash);
     });
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -50,7 +50,7 @@
   // What a warm one is seen to bear. Guards against cold servers left idle just as warm ones drown: those
   // then answer few, and a budget in proportion to that would fall with them.
   double SustainedRate() const {
-    return std::max(SampleRate(), sustained_answers_.Read(now_, kBorneTau, SampleRate()));
+    return std::max(SampleRate(), sustained_answers_.Read(now_, kSustainedTau, SampleRate()));
   }
   double RampFraction(const Server& s) const;
   // What a cold server may be sent, of what a warm one is.
@@ -65,7 +65,7 @@
   void Eject(Server& s);
   // The least patience that an aim leaves. (A fixed time was longer than the whole aim where all is quick.)
   static Duration MinPatience(Duration aim) {
-    return aim > Duration(0) ? FromSeconds(kPatienceShare * Seconds(aim)) : kSilentLeast;
+    return aim > Duration(0) ? FromSeconds(kMinPatienceShare * Seconds(aim)) : kMinPatienceNoAim;
   }
   void EjectUnresponsive();
   double RemainingRetryBudget() const;
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -81,7 +81,7 @@
 // How long a request may be held. Guards against the late refusal of what was never tried: from half of
 // its time on that costs its client more than a refusal at once.
 Duration Balancer::Core::MaxHoldTime(const Request& r) const {
-  const Duration half = (r.deadline - r.arrived) / 2 - 2 * kHoldStep;
+  const Duration half = (r.deadline - r.arrived) / 2 - 2 * kHoldRetryInterval;
   const Duration aim = ClassOf(r).aim > Duration(0) ? ClassOf(r).aim : r.deadline - r.arrived;
   return r.attempts.empty() ? std::min(aim, half) : aim;
 }
--- a/src/choice/health.cpp
+++ b/src/choice/health.cpp
@@ -9,7 +9,7 @@
 void Balancer::Core::RecordHealth(Server& s, bool failed, bool hard, bool lost_in_transit) {
   // A second's looks make the evidence: where they are one or none, one failure is all that there will
   // be, and waiting for three costs as many requests at each balancer of the fleet.
-  const double looks = SampleRate() * Seconds(kEjectFirst);
+  const double looks = SampleRate() * Seconds(kEjectMin);
   const int streak = std::clamp(1 + static_cast<int>(looks), 1, kEjectStreak);
   s.failure_share +=
       (looks < 1 && !lost_in_transit ? 0.5 : kHealthStep) * ((failed ? 1 : 0) - s.failure_share);
@@ -43,13 +43,13 @@
       listed += o.availability == Availability::kUp;
       ejected += o.availability == Availability::kUp && o.ejected;
     }
-    if (ejected + 1 > kEjectCap * listed) return;
+    if (ejected + 1 > kMaxEjectedShare * listed) return;
   }
   s.ejected = true;
   // Shorter than the time between two looks, a spell would change nothing.
-  const double look = kLooks / std::max(SampleRate(), 0.25);
-  const double spell = std::max(Seconds(kEjectFirst), look) * std::exp2(std::min(s.ejections, 6));
-  const double most = std::max(Seconds(kEjectMost), 4 * look);
+  const double look = kEjectSamples / std::max(SampleRate(), 0.25);
+  const double spell = std::max(Seconds(kEjectMin), look) * std::exp2(std::min(s.ejections, 6));
+  const double most = std::max(Seconds(kEjectMax), 4 * look);
   s.ejected_until = now_ + FromSeconds(std::min(spell, most) * (1 + 0.2 * Uniform()));
   ++s.ejections;
 }
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -4,7 +4,7 @@
 namespace beechledge {
 
 double Balancer::Core::RawLoad(const Server& s) const {
-  const bool fresh = s.report_at >= Time(0) && now_ - s.report_at < kReportLife;
+  const bool fresh = s.report_at >= Time(0) && now_ - s.report_at < kReportMaxAge;
   if (fresh && s.report.inflight) return *s.report.inflight / settings_.balancers;
   double own = s.load.value;
   if (s.inflight != 0 || own > 1e-6) own = s.load.Read(now_, kLoadTau, s.inflight);
@@ -45,11 +45,11 @@
   // Guards against warm servers that drown beside cold ones at ease: what is sent to one in excess shows
   // as slow answers long before it falls.
   const ServerId id = static_cast<ServerId>(&s - servers_.data());
-  const bool own = latencies_.Looks(id, now_) >= kColdLooks;
+  const bool own = latencies_.Looks(id, now_) >= kColdSamples;
   const bool at_ease =
-      own ? latencies_.Slower(id, now_) < kColdAtEase
-          : latencies_.ColdLooks(now_) >= kColdLooks && latencies_.ColdSlower(now_) < kColdAtEase;
-  const double margin = at_ease ? kColdMarginAtEase : kColdMargin;
+      own ? latencies_.Slower(id, now_) < kColdLightLoad
+          : latencies_.ColdLooks(now_) >= kColdSamples && latencies_.ColdSlower(now_) < kColdLightLoad;
+  const double margin = at_ease ? kColdMarginLightLoad : kColdMargin;
   const double rate = margin * settings_.rules.fall_multiple * share * SustainedRate();
   const double most = std::max(1.0, rate * Seconds(settings_.rules.fall) / (at_ease ? 4 : 2));
   s.cold_tokens = std::min(most, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
@@ -68,7 +68,7 @@
   if (load <= kLIdle) return load;
   const double looks = s.sends.Read(now_, kRateTau);
   const double chance = kLoadEvidence / (looks + kLoadEvidence);
-  return kMeanLoad + (load - kMeanLoad) * (1 - chance) - kChanceLoad * chance;
+  return kMeanLoad + (load - kMeanLoad) * (1 - chance) - kChanceAllowance * chance;
 }
 
 }  // namespace beechledge
--- a/src/choice/silence.cpp
+++ b/src/choice/silence.cpp
@@ -14,7 +14,8 @@
   for (ServerId id : up_servers_) {
     Server& s = servers_[id];
     const bool trial = s.ejected && s.trial_attempts > 0;
-    if (s.inflight < (trial ? 1 : kSilentFrom) || now_ - s.last_activity < most || IsOrigin(s)) continue;
+    if (s.inflight < (trial ? 1 : kUnresponsiveAttempts) || now_ - s.last_activity < most || IsOrigin(s))
+      continue;
     if (s.ejected && !trial) continue;  // known already
     s.last_activity = now_;
     Eject(s);
@@ -56,7 +57,7 @@
 // it was sent: it gets longer than answers ever take, and keeps all while it is strained.
 void Balancer::Core::CancelOverdue() {
   if (!answer_times_.Known() || !settings_.allowed.cancel) return;
-  const Duration slowest = FromSeconds(kPatience * Seconds(answer_times_.Quantile(0.99)));
+  const Duration slowest = FromSeconds(kOriginPatience * Seconds(answer_times_.Quantile(0.99)));
   double room = RemainingRetryBudget();
   for (auto& [key, r] : requests_) {
     if (r.ended || r.streaming || r.outstanding != 1 || !r.attempts.back().outstanding) continue;
@@ -75,7 +76,7 @@
       if (out < slowest || origin_limiter_.Strained() || again < 0.5) continue;
     } else {
       const double stay = ZoneDown(s) ? 0 : (1 - s.failure_share) * answer_times_.Chance(out, last - now_);
-      if (again < stay + kAgainGains) continue;
+      if (again < stay + kRetryMinGain) continue;
     }
     const bool keyed = c.effect == Effect::kKeyed && c.group == Group::kAll && now_ - a.sent < c.window / 2;
     if (c.effect != Effect::kSafe && !keyed) continue;
