--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -106,7 +106,7 @@
   Duration RetryAfter(const Request& r);
   Duration MaxHoldTime(const Request& r) const;
   void MarkEnded(Request& r) {
-    if (!std::exchange(r.ended, true)) admission_.Ended(now_);
+    if (!std::exchange(r.ended, true)) admission_.RecordEnd(now_);
   }
   void EndRequest(Request& r);
 
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -56,10 +56,10 @@
 // are few, and worth more than a try.
 bool Balancer::Core::ShouldShed(const Request& r) {
   if (r.write || ClassOf(r).effect != Effect::kSafe) return false;
-  admission_.Asked(now_);
+  admission_.RecordRead(now_);
   const double worth = std::max(0.01, ClassOf(r).worth);
   mean_worth_ += (mean_worth_ > 0 ? 0.01 : 1) * (worth - mean_worth_);
-  const double share = admission_.Share(now_);
+  const double share = admission_.AdmittedShare(now_);
   if (share >= 1) return false;
   const double against = settings_.worth_by_work ? 1 : std::clamp(mean_worth_ / worth, 0.5, 2.0);
   return Uniform() < 1 - std::pow(share, against);
@@ -74,7 +74,8 @@
   const Duration aim = ClassOf(r).aim;
   if (aim > Duration(0) && now_ - r.arrived >= aim) return most;
   const double turns = 1 + static_cast<double>(held_requests_.size()), any = Uniform();
-  const double crowd = (1 - admission_.Share(now_)) * Seconds(most) / 2;  // grows with what is turned away
+  const double crowd =
+      (1 - admission_.AdmittedShare(now_)) * Seconds(most) / 2;  // grows with what is turned away
   return std::min(most, FromSeconds(typical_seconds_ * turns * (0.8 + 0.4 * any) + crowd * (0.5 + any)));
 }
 
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -55,7 +55,7 @@
   switch (e.result) {
     case Result::kOk:
       answers_.Add(now_, kRateTau, 1);
-      admission_.Answered(now_, ClassOf(r).aim > Duration(0) && !r.write, now_ > LatestUsefulTime(r));
+      admission_.RecordAnswer(now_, ClassOf(r).aim > Duration(0) && !r.write, now_ > LatestUsefulTime(r));
       answer_times_.Add(now_ - a.sent);
       LearnZoneLatency(s, now_ - a.sent);
       if (!a.fetch && !r.write && !IsOrigin(s))
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -90,18 +90,18 @@
   double Play(Duration length, double asked) {
     double in_time = 0, all = 0;
     for (const Time until = now + length; now < until; now += milliseconds(10)) {
-      const double share = sheds ? admission.Share(now) : 1;
+      const double share = sheds ? admission.AdmittedShare(now) : 1;
       all += asked / 100;
       for (in += asked / 100; in >= 1; in -= 1) {
-        admission.Asked(now);
-        admission.Ended(now);
+        admission.RecordRead(now);
+        admission.RecordEnd(now);
       }
       const bool late = queue / capacity > 0.5;
       queue += share * asked / 100;
       const double given = std::min(queue, capacity / 100);
       queue -= given;
       if (!late) in_time += given;
-      for (served += given; served >= 1; served -= 1) admission.Answered(now, true, late);
+      for (served += given; served >= 1; served -= 1) admission.RecordAnswer(now, true, late);
     }
     return in_time / all;
   }
@@ -113,13 +113,13 @@
     Fleet f;
     f.sheds = sheds;
     EXPECT_GT(f.Play(seconds(5), 80), 0.99);
-    EXPECT_EQ(f.admission.Share(f.now), 1);
+    EXPECT_EQ(f.admission.AdmittedShare(f.now), 1);
     f.Play(seconds(3), 200);
     const double in_time = f.Play(seconds(10), 200);
     EXPECT_EQ(sheds, in_time > 0.15) << in_time;
     if (!sheds) continue;
     f.Play(seconds(6), 80);
-    EXPECT_EQ(f.admission.Share(f.now), 1);
+    EXPECT_EQ(f.admission.AdmittedShare(f.now), 1);
     EXPECT_GT(f.Play(seconds(5), 80), 0.99);
   }
 }
@@ -129,10 +129,10 @@
   Time now = seconds(100);
   for (int i = 0; i < 4000; ++i) {
     now += milliseconds(50);
-    a.Asked(now);
-    a.Ended(now);
-    if (i % 4 != 0) a.Answered(now, true, i % 10 == 0);  // a quarter fails, a tenth is late
-    EXPECT_EQ(a.Share(now), 1);
+    a.RecordRead(now);
+    a.RecordEnd(now);
+    if (i % 4 != 0) a.RecordAnswer(now, true, i % 10 == 0);  // a quarter fails, a tenth is late
+    EXPECT_EQ(a.AdmittedShare(now), 1);
   }
 }
 
