--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -74,7 +74,7 @@
   Time LatestUsefulTime(const Request& r) const;
 
   // ---- Halls: a whole one that falls silent is told from a server in trouble ----
-  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && zones_.Lost(s.zone); }
+  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && zones_.Down(s.zone); }
   void RecordZoneResult(Server& s, bool answered);
   bool Healthy(const Server& s) const;
 
@@ -150,7 +150,7 @@
   std::vector<Server> servers_;        // by ServerId
   std::vector<ServerId> up_servers_;   // those listed as up
   std::vector<double> loads_, ranks_;  // scratch of Choose; an order counts where a load is set
-  Halls zones_;
+  ZoneHealth zones_;
   Duration longest_aim_{0};
   double mean_worth_ = 0;  // of the reads asked lately; 0: none yet
   int warm_servers_ = 1;
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -34,7 +34,7 @@
   if (!Allowed(r, id) || !HasColdToken(s)) return false;
   if (IsCold(s)) s.cold_tokens -= 1;
   if (s.ejected) ++s.trial_attempts;
-  if (ZoneDown(s)) zones_.Tried(s.zone, now_);
+  if (ZoneDown(s)) zones_.RecordTrial(s.zone, now_);
   AdjustInflight(s, +1);
   s.sends.Add(now_, kRateTau, 1);
   r.attempts.push_back({id, now_, fetch});
--- a/src/choice/health.cpp
+++ b/src/choice/health.cpp
@@ -57,8 +57,8 @@
 // A lost hall is told from a server in trouble.
 void Balancer::Core::RecordZoneResult(Server& s, bool answered) {
   if (IsOrigin(s)) return;
-  if (answered) return zones_.Heard(s.zone);
-  if (!zones_.Failed(s.zone, now_, s.counted_outage)) return;
+  if (answered) return zones_.RecordAnswer(s.zone);
+  if (!zones_.RecordFailure(s.zone, now_, s.counted_outage)) return;
   for (ServerId id : up_servers_) {  // what is open there leads nowhere
     if (servers_[id].zone == s.zone && !IsOrigin(servers_[id])) out_->push_back(CloseIdle{id});
   }
--- a/src/sight/halls.h
+++ b/src/sight/halls.h
@@ -12,40 +12,42 @@
 
 namespace beechledge {
 
-class Halls {
+class ZoneHealth {
  public:
-  bool Lost(int hall) const { return all_[Place(hall)].silent >= kLost; }
+  bool Down(int zone) const { return zones_[Index(zone)].failed_servers >= kDownServers; }
   // Of a lost one: may the next request try it, and one has.
-  bool MayTry(int hall, Time now) const { return now >= all_[Place(hall)].try_at; }
-  void Tried(int hall, Time now) { all_[Place(hall)].try_at = now + kTrial; }
+  bool MayTry(int zone, Time now) const { return now >= zones_[Index(zone)].next_trial; }
+  void RecordTrial(int zone, Time now) { zones_[Index(zone)].next_trial = now + kTrialInterval; }
   // Something there answered, or began: it is not lost.
-  void Heard(int hall) {
-    Hall& h = all_[Place(hall)];
-    if (h.silent > 0) ++h.spell;
-    h.silent = 0;
+  void RecordAnswer(int zone) {
+    Zone& z = zones_[Index(zone)];
+    if (z.failed_servers > 0) ++z.outage;
+    z.failed_servers = 0;
   }
   // A server there failed; `counted` is that server's own, 0 at first, and tells whether it has been
   // counted in this spell. True: with this the hall is lost.
-  bool Failed(int hall, Time now, std::uint32_t& counted) {
-    Hall& h = all_[Place(hall)];
-    if (counted == h.spell) return false;
-    counted = h.spell;
-    if (++h.silent != kLost) return false;
-    Tried(hall, now);
+  bool RecordFailure(int zone, Time now, std::uint32_t& counted) {
+    Zone& z = zones_[Index(zone)];
+    if (counted == z.outage) return false;
+    counted = z.outage;
+    if (++z.failed_servers != kDownServers) return false;
+    RecordTrial(zone, now);
     return true;
   }
 
  private:
-  static constexpr int kMost = 16;  // halls told apart; further ones share the last
-  static constexpr int kLost = 4;   // servers of one hall that failed in a row
-  static constexpr Duration kTrial = std::chrono::seconds(1);  // how often a lost hall is tried
-  struct Hall {
-    int silent = 0;           // servers that have failed since its last answer
-    std::uint32_t spell = 1;  // counts its answers after silence
-    Time try_at{0};
+  static constexpr int kMaxZones = 16;    // halls told apart; further ones share the last
+  static constexpr int kDownServers = 4;  // servers of one hall that failed in a row
+  static constexpr Duration kTrialInterval = std::chrono::seconds(1);  // how often a lost hall is tried
+  struct Zone {
+    int failed_servers = 0;    // servers that have failed since its last answer
+    std::uint32_t outage = 1;  // counts its answers after silence
+    Time next_trial{0};
   };
-  static std::size_t Place(int hall) { return static_cast<std::size_t>(std::clamp(hall, 0, kMost - 1)); }
-  std::array<Hall, kMost> all_;
+  static std::size_t Index(int zone) {
+    return static_cast<std::size_t>(std::clamp(zone, 0, kMaxZones - 1));
+  }
+  std::array<Zone, kMaxZones> zones_;
 };
 
 }  // namespace beechledge
