--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -166,7 +166,7 @@
   Times answer_times_;
   double typical_seconds_ = 0.05;  // seconds of a usual answer
   double retry_tokens_ = kRetryBurst;
-  HomeShare own_zone_share_;
+  OwnZoneShare own_zone_share_;
   double retry_success_share_ = 0.9;  // share of overdue attempts whose next one was answered in time
   Admission admission_;
   Smoothed sustained_answers_, answers_;  // answers, decaying: over kRateTau the rate
--- a/src/sight/home_share.h
+++ b/src/sight/home_share.h
@@ -10,28 +10,29 @@
 
 namespace beechledge {
 
-class HomeShare {
+class OwnZoneShare {
  public:
   double value() const { return share_; }
   // A cache server's answer took so long, or was waited for in vain.
-  void Learn(Time now, bool home, Duration took) {
-    double& pace = home ? home_ : away_;
-    pace += kPaceStep * (std::log(std::max(1e-4, Seconds(took))) - pace);
-    if (now - at_ < kStep) return;
-    at_ = now;
-    const double slower = std::exp(home_ - away_);
-    if (slower > kSlow) share_ = std::max(0.0, share_ - kShareStep);
-    if (slower < kEven) share_ = std::min(1.0, share_ + kShareStep);
+  void Learn(Time now, bool own_zone, Duration took) {
+    double& latency = own_zone ? own_ : other_;
+    latency += kLatencyStep * (std::log(std::max(1e-4, Seconds(took))) - latency);
+    if (now - last_step_ < kStepInterval) return;
+    last_step_ = now;
+    const double ratio = std::exp(own_ - other_);
+    if (ratio > kCrossRatio) share_ = std::max(0.0, share_ - kShareStep);
+    if (ratio < kReturnRatio) share_ = std::min(1.0, share_ + kShareStep);
   }
 
  private:
-  static constexpr double kPaceStep = 0.04;          // weight of one answer in its hall's pace
-  static constexpr double kSlow = 1.5, kEven = 1.2;  // times the other's pace: keys cross, or come home
-  static constexpr double kShareStep = 0.05;         // so large a share of the keys
-  static constexpr Duration kStep = std::chrono::milliseconds(500);  // at a time
+  static constexpr double kLatencyStep = 0.04;  // weight of one answer in its hall's pace
+  static constexpr double kCrossRatio = 1.5,
+                          kReturnRatio = 1.2;  // times the other's pace: keys cross, or come home
+  static constexpr double kShareStep = 0.05;   // so large a share of the keys
+  static constexpr Duration kStepInterval = std::chrono::milliseconds(500);  // at a time
   double share_ = 1;
-  double home_ = -2, away_ = -2;  // mean logarithm of the seconds to an answer
-  Time at_{0};
+  double own_ = -2, other_ = -2;  // mean logarithm of the seconds to an answer
+  Time last_step_{0};
 };
 
 }  // namespace beechledge
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -62,8 +62,8 @@
   EXPECT_GT(Room(p, now), 4);
 }
 
-TEST(HomeShare, KeysCrossWhileTheOwnHallIsSlowerAndComeHomeAfterwards) {
-  HomeShare h;
+TEST(OwnZoneShare, KeysCrossWhileTheOwnHallIsSlowerAndComeHomeAfterwards) {
+  OwnZoneShare h;
   Time now = seconds(1);
   const auto play = [&](int home_ms, int away_ms) {
     for (int i = 0; i < 400; ++i) {
