--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -29,7 +29,7 @@
     if (servers_[id].ejected)
       kept.servers.back().avoid = std::max(Duration(0), servers_[id].ejected_until - now);
   }
-  key_table_.Each(most_keys, [&](const KeyTable::Entry& entry) {
+  key_table_.ForEach(most_keys, [&](const KeyTable::Entry& entry) {
     Kept::Key key{entry.key, {}};
     for (const Holder& h : entry.holders) {
       if (servers_[h.server].listed && servers_[h.server].incarnation == h.incarnation)
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -138,16 +138,16 @@
     const Server& s = servers_[h.server];
     return !s.listed || s.incarnation != h.incarnation;
   });
-  if (holder_busy_) entry.busy_at = now_;
+  if (holder_busy_) entry.last_needed = now_;
   if (FindHolder(&entry, id, servers_[id]) == nullptr) {
     entry.holders.push_back({id, servers_[id].incarnation});
-    entry.busy_at = now_;
-  } else if (entry.holders.size() > 1 && now_ - entry.busy_at > kHolderIdleTime) {
+    entry.last_needed = now_;
+  } else if (entry.holders.size() > 1 && now_ - entry.last_needed > kHolderIdleTime) {
     const auto last = std::min_element(entry.holders.begin(), entry.holders.end(), [&](auto& a, auto& b) {
       return PairHash(entry.key, servers_[a.server].hash) < PairHash(entry.key, servers_[b.server].hash);
     });
     entry.holders.erase(last);
-    entry.busy_at = now_;
+    entry.last_needed = now_;
   }
 }
 
--- a/src/sight/key_table.h
+++ b/src/sight/key_table.h
@@ -19,11 +19,11 @@
 // The key table: which servers are thought to hold a key. Bounded; the least recently used key goes first.
 class KeyTable {
  public:
-  static constexpr std::size_t kMost = 1 << 16;  // keys remembered
+  static constexpr std::size_t kMaxKeys = 1 << 16;  // keys remembered
   struct Entry {
     std::uint64_t key;
     std::vector<Holder> holders;
-    Time busy_at{0};  // when more holders than one were last needed
+    Time last_needed{0};  // when more holders than one were last needed
     Time fetch_until{
         -1};  // single-flight: a fetch of this key is out until its outcome, or this at the latest
   };
@@ -34,26 +34,26 @@
   Entry& Touch(std::uint64_t key, Time now) {
     const auto it = index_.find(key);
     if (it != index_.end()) {
-      order_.splice(order_.begin(), order_, it->second);
-      return order_.front();
+      by_recency_.splice(by_recency_.begin(), by_recency_, it->second);
+      return by_recency_.front();
     }
-    if (index_.size() >= kMost) {
-      index_.erase(order_.back().key);
-      order_.pop_back();
+    if (index_.size() >= kMaxKeys) {
+      index_.erase(by_recency_.back().key);
+      by_recency_.pop_back();
     }
-    order_.push_front({key, {}, now, Time(-1)});
-    index_.emplace(key, order_.begin());
-    return order_.front();
+    by_recency_.push_front({key, {}, now, Time(-1)});
+    index_.emplace(key, by_recency_.begin());
+    return by_recency_.front();
   }
 
   // The most recently used first, at most so many.
   template <class F>
-  void Each(std::size_t most, F f) const {
-    for (auto it = order_.begin(); it != order_.end() && most > 0; ++it, --most) f(*it);
+  void ForEach(std::size_t max, F f) const {
+    for (auto it = by_recency_.begin(); it != by_recency_.end() && max > 0; ++it, --max) f(*it);
   }
 
  private:
-  std::list<Entry> order_;
+  std::list<Entry> by_recency_;
   std::unordered_map<std::uint64_t, std::list<Entry>::iterator> index_;
 };
 
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -138,14 +138,14 @@
 
 TEST(KeyTable, IsBoundedAndForgetsTheLeastRecentlyUsed) {
   KeyTable t;
-  for (std::uint64_t key = 0; key < KeyTable::kMost; ++key)
+  for (std::uint64_t key = 0; key < KeyTable::kMaxKeys; ++key)
     t.Touch(key, seconds(1)).holders.push_back({1, 0});
   t.Touch(0, seconds(2));
-  t.Touch(KeyTable::kMost, seconds(2));
+  t.Touch(KeyTable::kMaxKeys, seconds(2));
   EXPECT_NE(t.Find(0), nullptr);
   EXPECT_EQ(t.Find(1), nullptr);
   EXPECT_EQ(t.Find(0)->holders.size(), 1u);
-  EXPECT_TRUE(t.Find(KeyTable::kMost)->holders.empty());
+  EXPECT_TRUE(t.Find(KeyTable::kMaxKeys)->holders.empty());
 }
 
 TEST(Times, WhatWasGivenUpCountsWithWhatCameLater) {
