--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -20,7 +20,7 @@
 // are out as the origin is seen to bear: fetches that fail or come late would only keep it from those
 // that matter.
 bool Balancer::Core::MayFetch(const KeyTable::Entry* entry) const {
-  return origin_limiter_.Room(now_) && (entry == nullptr || now_ >= entry->fetch_until);
+  return origin_limiter_.MayFetch(now_) && (entry == nullptr || now_ >= entry->fetch_until);
 }
 
 // May a request held for its fetch go on: has its key come meanwhile, or is there room?
@@ -39,7 +39,7 @@
   r.awaits_fetch = fetch && !MayFetch(entry);
   if (r.awaits_fetch) return false;
   if (!TrySend(r, id, fetch)) return false;
-  if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_limiter_.Usual());
+  if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_limiter_.UsualSeconds());
   if (entry != nullptr) AddHolder(*entry, id);
   if (r.attempts.size() == 1 && settings_.allowed.parallel_tries && ClassOf(r).effect == Effect::kSafe &&
       answer_times_.Known()) {
@@ -114,7 +114,7 @@
   if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchInterval);
   watch_timer_set_ = true;
   r.shed = ShouldShed(r);
-  if (r.shed && origin_limiter_.Strained()) {
+  if (r.shed && origin_limiter_.Overloaded()) {
     EndRequest(r);
   } else {
     Dispatch(r);
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -37,14 +37,14 @@
     }
     if (!key.holders.empty()) kept.keys.push_back(std::move(key));
   });
-  kept.origin = origin_limiter_.Keep();
+  kept.origin = origin_limiter_.Export();
   return kept;
 }
 // Holders are mapped and not confirmed: what a key's place is, not that it is still there.
 void Balancer::Core::Recall(Time now, const Kept& kept, double faith) {
   now_ = std::max(now_, now);
   faith = std::clamp(faith, 0.0, 1.0);
-  origin_limiter_.Recall(kept.origin, faith);
+  origin_limiter_.Restore(kept.origin, faith);
   for (const Kept::Server& s : kept.servers) {
     if (s.id >= servers_.size() || !servers_[s.id].listed) continue;
     latencies_.Recall(s, now_, faith);
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -46,7 +46,7 @@
 // moving while the origin has no room for the fetch that it costs.
 int Balancer::Core::RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const {
   if (entry == nullptr || entry->holders.empty() || r.write || !MayFetch(entry) ||
-      origin_limiter_.NearStrain()) {
+      origin_limiter_.NearOverload()) {
     return -1;
   }
   int home = -1, holder = -1;
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -170,7 +170,7 @@
   double retry_success_share_ = 0.9;  // share of overdue attempts whose next one was answered in time
   Admission admission_;
   Smoothed sustained_answers_, answers_;  // answers, decaying: over kRateTau the rate
-  OriginPace origin_limiter_;
+  OriginLimiter origin_limiter_;
   Startup startup_;
   ListCalls list_calls_;
   bool list_received_ = false, subscribed_ = false, held_timer_set_ = false, watch_timer_set_ = false;
--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -39,7 +39,7 @@
   s.sends.Add(now_, kRateTau, 1);
   r.attempts.push_back({id, now_, fetch});
   r.attempts.back().incarnation = s.incarnation;
-  if (fetch) origin_limiter_.Begin(now_);
+  if (fetch) origin_limiter_.FetchStarted(now_);
   ++r.outstanding;
   out_->push_back(Send{r.id, id, Duration(0)});
   return true;
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -19,16 +19,16 @@
     }
   }
   if (!a.fetch) return;
-  origin_limiter_.End();
+  origin_limiter_.FetchEnded();
   if (entry != nullptr) entry->fetch_until = Time(-1);
   const double took = Seconds(now_ - a.sent);
   const bool ok = e.result == Result::kOk;
-  if (ok) origin_limiter_.Served(took);
+  if (ok) origin_limiter_.RecordServed(took);
   if (e.result == Result::kCancelled || NeverRan(e.result)) return;
   if (ok && e.note == Note::kHit) return;  // it was kept after all: not a word from the origin
   const Duration aim = ClassOf(r).aim;
   const double most = aim > Duration(0) ? Seconds(aim) : INFINITY;
-  origin_limiter_.Learn(now_, took, ok, ok || e.result == Result::kSpoilt, most);
+  origin_limiter_.RecordResult(now_, took, ok, ok || e.result == Result::kSpoilt, most);
 }
 
 // Does another attempt help what was taken back? One that went astray is answered as quickly as any
--- a/src/choice/silence.cpp
+++ b/src/choice/silence.cpp
@@ -73,7 +73,7 @@
     // A miss may come between, and a fetch after it: half as much again as one answer takes.
     const double again = retry_success_share_ * answer_times_.Chance(Duration(0), 2 * (last - now_) / 3);
     if (IsOrigin(s)) {
-      if (out < slowest || origin_limiter_.Strained() || again < 0.5) continue;
+      if (out < slowest || origin_limiter_.Overloaded() || again < 0.5) continue;
     } else {
       const double stay = ZoneDown(s) ? 0 : (1 - s.failure_share) * answer_times_.Chance(out, last - now_);
       if (again < stay + kRetryMinGain) continue;
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -23,43 +23,43 @@
 using std::chrono::seconds;
 
 // How many fetches it lets out at once.
-int Room(OriginPace& p, Time now) {
+int FetchesAllowed(OriginLimiter& p, Time now) {
   int n = 0;
-  for (; p.Room(now) && n < 10000; ++n) p.Begin(now);
-  for (int i = 0; i < n; ++i) p.End();
+  for (; p.MayFetch(now) && n < 10000; ++n) p.FetchStarted(now);
+  for (int i = 0; i < n; ++i) p.FetchEnded();
   return n;
 }
 
-TEST(OriginPace, FollowsWhatTheOriginBears) {
-  OriginPace p;
+TEST(OriginLimiter, FollowsWhatTheOriginBears) {
+  OriginLimiter p;
   Time now = seconds(1);
-  EXPECT_EQ(Room(p, now), 16);
+  EXPECT_EQ(FetchesAllowed(p, now), 16);
   const auto play = [&](int fetches, double took, bool ok) {
     for (int i = 0; i < fetches; ++i) {
       now += milliseconds(200);
       int out = 0;
-      for (; p.Room(now); ++out) p.Begin(now);  // as many out as may be
+      for (; p.MayFetch(now); ++out) p.FetchStarted(now);  // as many out as may be
       if (out == 0) continue;
-      p.End();
-      if (ok) p.Served(took);
-      p.Learn(now, took, ok, ok, 1);
-      while (--out > 0) p.End();
+      p.FetchEnded();
+      if (ok) p.RecordServed(took);
+      p.RecordResult(now, took, ok, ok, 1);
+      while (--out > 0) p.FetchEnded();
     }
   };
   play(100, 0.1, true);
-  EXPECT_FALSE(p.NearStrain());
+  EXPECT_FALSE(p.NearOverload());
   play(40, 0.9, true);  // ninefold an unhurried one, and in time
-  EXPECT_TRUE(p.Strained());
+  EXPECT_TRUE(p.Overloaded());
   play(40, 1, false);
-  EXPECT_TRUE(p.Strained());
+  EXPECT_TRUE(p.Overloaded());
   // A part of the time, and never none: else nothing would tell that it is back.
-  EXPECT_EQ(Room(p, now), 0);
+  EXPECT_EQ(FetchesAllowed(p, now), 0);
   now += seconds(2);
-  EXPECT_EQ(Room(p, now), 1);
-  EXPECT_EQ(Room(p, now), 0);
+  EXPECT_EQ(FetchesAllowed(p, now), 1);
+  EXPECT_EQ(FetchesAllowed(p, now), 0);
   play(400, 0.05, true);
-  EXPECT_FALSE(p.Strained());
-  EXPECT_GT(Room(p, now), 4);
+  EXPECT_FALSE(p.Overloaded());
+  EXPECT_GT(FetchesAllowed(p, now), 4);
 }
 
 TEST(OwnZoneShare, KeysCrossWhileTheOwnHallIsSlowerAndComeHomeAfterwards) {
