--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -109,7 +109,7 @@
   r.deadline = now_ + std::clamp(e.ttl, Duration(0), Duration(seconds(86400)));
   retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryBudget);
   SetRequestTimer(TimerKind::kDeadline, r.id, r.deadline);
-  latencies_.Step(now_);
+  latencies_.AdjustWeights(now_);
   sustained_answers_.Hold(now_, kSustainedTau, SampleRate());
   if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchInterval);
   watch_timer_set_ = true;
--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -25,7 +25,7 @@
   Kept kept;
   for (ServerId id : up_servers_) {
     if (IsOrigin(servers_[id])) continue;
-    kept.servers.push_back(latencies_.Keep(id, now));
+    kept.servers.push_back(latencies_.Export(id, now));
     if (servers_[id].ejected)
       kept.servers.back().avoid = std::max(Duration(0), servers_[id].ejected_until - now);
   }
@@ -47,7 +47,7 @@
   origin_limiter_.Restore(kept.origin, faith);
   for (const Kept::Server& s : kept.servers) {
     if (s.id >= servers_.size() || !servers_[s.id].listed) continue;
-    latencies_.Recall(s, now_, faith);
+    latencies_.Restore(s, now_, faith);
     if (s.avoid <= Duration(0)) continue;
     servers_[s.id].ejected = true;  // half-open after that: one careful try
     servers_[s.id].ejected_until = now_ + std::min(s.avoid, kEjectMax);
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -64,8 +64,8 @@
     first = order;
   }
   if (holder < 0 || home == holder || first * (1 + kRelocationGain) >= held) return -1;
-  const double slower = latencies_.Slower(static_cast<ServerId>(holder), now_) -
-                        latencies_.Slower(static_cast<ServerId>(home), now_);
+  const double slower = latencies_.RelativeLatency(static_cast<ServerId>(holder), now_) -
+                        latencies_.RelativeLatency(static_cast<ServerId>(home), now_);
   return slower > kRelocationSlower ? home : -1;
 }
 
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -157,7 +157,7 @@
   std::size_t origin_count_ = 0;
   double fleet_failure_share_ = 0;
   bool holder_busy_ = false;  // of the last choice: a holder stood at L_idle or above
-  Paces latencies_;
+  ServerLatencies latencies_;
   KeyTable key_table_;
   std::unordered_map<RequestId, Request> requests_;
   std::vector<RequestId> held_requests_;
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -59,7 +59,7 @@
       answer_times_.Add(now_ - a.sent);
       LearnZoneLatency(s, now_ - a.sent);
       if (!a.fetch && !r.write && !IsOrigin(s))
-        latencies_.Answered(e.server, now_, now_ - a.sent, IsCold(s));
+        latencies_.RecordAnswer(e.server, now_, now_ - a.sent, IsCold(s));
       typical_seconds_ += 0.02 * (Seconds(now_ - a.sent) - typical_seconds_);
       // Where looks are few, load shows only how slow an answer was: one too late to be worth anything is
       // a failure, unless it was late to begin with.
@@ -68,7 +68,7 @@
           false);
       break;
     case Result::kMiss:
-      latencies_.Missed(e.server, now_, now_ - a.sent, IsCold(s));
+      latencies_.RecordMiss(e.server, now_, now_ - a.sent, IsCold(s));
       RecordHealth(s, false, false);
       break;
     case Result::kError:
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -42,9 +42,9 @@
   s.cell = entry.cell;
   s.availability = entry.availability;
   if (s.listed_start != entry.started || !s.known) {
-    latencies_.Place(entry.id, s.kind, s.zone, ListedSize(entry));
+    latencies_.Add(entry.id, s.kind, s.zone, ListedSize(entry));
   } else {
-    latencies_.Resize(entry.id, ListedSize(entry));
+    latencies_.SetSize(entry.id, ListedSize(entry));
   }
   s.known = true;
   if (s.listed_start != entry.started) {
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -45,10 +45,10 @@
   // Guards against warm servers that drown beside cold ones at ease: what is sent to one in excess shows
   // as slow answers long before it falls.
   const ServerId id = static_cast<ServerId>(&s - servers_.data());
-  const bool own = latencies_.Looks(id, now_) >= kColdSamples;
-  const bool at_ease =
-      own ? latencies_.Slower(id, now_) < kColdLightLoad
-          : latencies_.ColdLooks(now_) >= kColdSamples && latencies_.ColdSlower(now_) < kColdLightLoad;
+  const bool own = latencies_.Samples(id, now_) >= kColdSamples;
+  const bool at_ease = own ? latencies_.RelativeLatency(id, now_) < kColdLightLoad
+                           : latencies_.ColdSamples(now_) >= kColdSamples &&
+                                 latencies_.ColdRelativeLatency(now_) < kColdLightLoad;
   const double margin = at_ease ? kColdMarginLightLoad : kColdMargin;
   const double rate = margin * settings_.rules.fall_multiple * share * SustainedRate();
   const double most = std::max(1.0, rate * Seconds(settings_.rules.fall) / (at_ease ? 4 : 2));
--- a/tests/sight/paces_test.cpp
+++ b/tests/sight/paces_test.cpp
@@ -12,34 +12,34 @@
 namespace beechledge::testing {
 namespace {
 
-TEST(Paces, AServerMetSeldomLeansOnItsKind) {
-  Paces p;
-  for (ServerId id = 0; id < 8; ++id) p.Place(id, id < 4 ? 1 : 2, 0, 0);
+TEST(ServerLatencies, AServerMetSeldomLeansOnItsKind) {
+  ServerLatencies p;
+  for (ServerId id = 0; id < 8; ++id) p.Add(id, id < 4 ? 1 : 2, 0, 0);
   Time now = seconds(100);
   for (int i = 0; i < 40; ++i) {
-    for (ServerId id : {0u, 1u, 2u}) p.Answered(id, now, milliseconds(90), false);
-    for (ServerId id : {4u, 5u, 6u, 7u}) p.Answered(id, now, milliseconds(30), false);
+    for (ServerId id : {0u, 1u, 2u}) p.RecordAnswer(id, now, milliseconds(90), false);
+    for (ServerId id : {4u, 5u, 6u, 7u}) p.RecordAnswer(id, now, milliseconds(30), false);
     now += milliseconds(100);
   }
   // Server 3 has not answered once, and its kind speaks for it.
-  EXPECT_EQ(p.Looks(3, now), 0);
-  EXPECT_GT(p.Slower(3, now), 0.25);
-  EXPECT_LT(p.Slower(5, now), -0.25);
+  EXPECT_EQ(p.Samples(3, now), 0);
+  EXPECT_GT(p.RelativeLatency(3, now), 0.25);
+  EXPECT_LT(p.RelativeLatency(5, now), -0.25);
   // One slow answer of one server is not evidence against it: its kind still says that it is quick.
-  p.Place(7, 2, 0, 0);
-  p.Answered(7, now, milliseconds(300), false);
-  EXPECT_LT(p.Slower(7, now), 0.1);
+  p.Add(7, 2, 0, 0);
+  p.RecordAnswer(7, now, milliseconds(300), false);
+  EXPECT_LT(p.RelativeLatency(7, now), 0.1);
 }
 
-TEST(Paces, WeightsMoveBySmallStepsTowardsEqualTimesAndStayForChance) {
-  Paces p;
-  for (ServerId id = 0; id < 4; ++id) p.Place(id, static_cast<int>(id), 0, 0);
+TEST(ServerLatencies, WeightsMoveBySmallStepsTowardsEqualTimesAndStayForChance) {
+  ServerLatencies p;
+  for (ServerId id = 0; id < 4; ++id) p.Add(id, static_cast<int>(id), 0, 0);
   Time now = seconds(100);
   double before = 1;
   for (int i = 0; i < 100; ++i, now += milliseconds(100)) {
-    p.Answered(0, now, milliseconds(120), false);
-    for (ServerId id : {1u, 2u, 3u}) p.Answered(id, now, milliseconds(i % 2 ? 38 : 42), false);
-    p.Step(now);
+    p.RecordAnswer(0, now, milliseconds(120), false);
+    for (ServerId id : {1u, 2u, 3u}) p.RecordAnswer(id, now, milliseconds(i % 2 ? 38 : 42), false);
+    p.AdjustWeights(now);
     EXPECT_GT(p.Weight(0), 0.9 * before) << "more than a step at once";
     before = p.Weight(0);
   }
@@ -47,61 +47,65 @@
   EXPECT_EQ(p.Weight(1), p.Weight(2)) << "what differs by chance alone stays together";
   // Once it is as quick as the others it has its part again.
   for (int i = 0; i < 1800; ++i, now += milliseconds(100)) {
-    for (ServerId id : {0u, 1u, 2u, 3u}) p.Answered(id, now, milliseconds(40), false);
-    p.Step(now);
+    for (ServerId id : {0u, 1u, 2u, 3u}) p.RecordAnswer(id, now, milliseconds(40), false);
+    p.AdjustWeights(now);
   }
   EXPECT_GT(p.Weight(0), 0.8);
 }
 
-TEST(Paces, WhatTheListStatesIsWhereItStartsAndIsBounded) {
+TEST(ServerLatencies, WhatTheListStatesIsWhereItStartsAndIsBounded) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   struct Row {
     double size, least, most;
-  } rows[] = {{0, 0.9, 1.1}, {-3, 0.9, 1.1}, {nan, 0.9, 1.1}, {1e300, 2, Paces::kMost}, {2, 1.3, 2.0}};
+  } rows[] = {{0, 0.9, 1.1},
+              {-3, 0.9, 1.1},
+              {nan, 0.9, 1.1},
+              {1e300, 2, ServerLatencies::kMaxWeight},
+              {2, 1.3, 2.0}};
   for (const Row& row : rows) {
-    Paces p;
-    for (ServerId id = 0; id < 6; ++id) p.Place(id, 0, 0, 1);
-    p.Place(6, 1, 0, row.size);
+    ServerLatencies p;
+    for (ServerId id = 0; id < 6; ++id) p.Add(id, 0, 0, 1);
+    p.Add(6, 1, 0, row.size);
     EXPECT_GE(p.Weight(6), row.least) << row.size;
     EXPECT_LE(p.Weight(6), row.most) << row.size;
-    EXPECT_GE(p.Weight(0), Paces::kLeast) << row.size;
+    EXPECT_GE(p.Weight(0), ServerLatencies::kMinWeight) << row.size;
     EXPECT_TRUE(std::isfinite(p.Weight(0)));
   }
   // A size that changes with every list moves its weight by one step at a time.
-  Paces p;
-  for (ServerId id = 0; id < 6; ++id) p.Place(id, 0, 0, 1);
+  ServerLatencies p;
+  for (ServerId id = 0; id < 6; ++id) p.Add(id, 0, 0, 1);
   Time now = seconds(100);
   for (int i = 0; i < 50; ++i, now += seconds(1)) {
     const double before = p.Weight(0);
-    p.Resize(0, i % 2 ? 1e-9 : 1e9);
-    p.Step(now);
+    p.SetSize(0, i % 2 ? 1e-9 : 1e9);
+    p.AdjustWeights(now);
     EXPECT_LT(std::abs(std::log(p.Weight(0) / before)), 0.11);
   }
 }
 
-TEST(Paces, NewKindsWithoutEndStayBounded) {
-  Paces p;
+TEST(ServerLatencies, NewKindsWithoutEndStayBounded) {
+  ServerLatencies p;
   Time now = seconds(100);
   for (int kind = 0; kind < 4096; ++kind) {
-    p.Place(static_cast<ServerId>(kind), kind, kind % 3, 1);
-    p.Answered(static_cast<ServerId>(kind), now, milliseconds(40), false);
+    p.Add(static_cast<ServerId>(kind), kind, kind % 3, 1);
+    p.RecordAnswer(static_cast<ServerId>(kind), now, milliseconds(40), false);
   }
-  for (ServerId id = 0; id < 4096; ++id) EXPECT_NEAR(p.Slower(id, now), 0, 1e-6);
-  p.Step(now + seconds(1));
+  for (ServerId id = 0; id < 4096; ++id) EXPECT_NEAR(p.RelativeLatency(id, now), 0, 1e-6);
+  p.AdjustWeights(now + seconds(1));
 }
 
-TEST(Paces, ASuccessorStartsWithoutWhatWasLearntOfTheOneBefore) {
-  Paces p;
-  for (ServerId id = 0; id < 3; ++id) p.Place(id, 0, 0, 0);
+TEST(ServerLatencies, ASuccessorStartsWithoutWhatWasLearntOfTheOneBefore) {
+  ServerLatencies p;
+  for (ServerId id = 0; id < 3; ++id) p.Add(id, 0, 0, 0);
   Time now = seconds(100);
   for (int i = 0; i < 50; ++i) {
-    p.Answered(0, now, milliseconds(400), false);
-    for (ServerId id : {1u, 2u}) p.Answered(id, now, milliseconds(40), false);
+    p.RecordAnswer(0, now, milliseconds(400), false);
+    for (ServerId id : {1u, 2u}) p.RecordAnswer(id, now, milliseconds(40), false);
   }
-  const double slow = p.Slower(0, now);
-  p.Place(0, 0, 0, 0);
-  EXPECT_LT(p.Slower(0, now), 0.7 * slow);
-  EXPECT_EQ(p.Looks(0, now), 0);
+  const double slow = p.RelativeLatency(0, now);
+  p.Add(0, 0, 0, 0);
+  EXPECT_LT(p.RelativeLatency(0, now), 0.7 * slow);
+  EXPECT_EQ(p.Samples(0, now), 0);
 }
 
 // Four warm servers that answer in 200 ms, and a cold one in `cold_takes`: what it got from 3 s to 8 s of
@@ -141,7 +145,7 @@
 
 // Guards against cold servers at ease beside warm ones that drown (a fleet that has lost some servers), and
 // against pushing on one whose answers say that it has enough.
-TEST(Paces, AColdServerAtEaseGetsMoreAndASlowOneDoesNot) {
+TEST(ServerLatencies, AColdServerAtEaseGetsMoreAndASlowOneDoesNot) {
   const double at_ease = ColdPart(milliseconds(100)), slow = ColdPart(milliseconds(400));
   EXPECT_GT(at_ease, 0.6);
   EXPECT_LT(slow, 0.45);
