--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -42,7 +42,7 @@
   if (fetch) entry->fetch_until = now_ + FromSeconds(2 * origin_limiter_.UsualSeconds());
   if (entry != nullptr) AddHolder(*entry, id);
   if (r.attempts.size() == 1 && settings_.allowed.parallel_tries && ClassOf(r).effect == Effect::kSafe &&
-      answer_times_.Known()) {
+      answer_times_.HasEnoughSamples()) {
     SetRequestTimer(TimerKind::kHedge, r.id, now_ + answer_times_.Quantile(0.95) * 5 / 4);
   }
   return true;
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -163,7 +163,7 @@
   std::vector<RequestId> held_requests_;
   std::unordered_map<std::uint64_t, std::pair<TimerKind, RequestId>> timers_;
   std::uint64_t last_token_ = 0;
-  Times answer_times_;
+  AnswerTimes answer_times_;
   double typical_seconds_ = 0.05;  // seconds of a usual answer
   double retry_tokens_ = kRetryBurst;
   OwnZoneShare own_zone_share_;
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -45,7 +45,7 @@
 
 void Balancer::Core::LearnServerResult(Server& s, const Request& r, const Attempt& a, const Outcome& e) {
   if (e.result == Result::kTimeout || (e.result == Result::kCancelled && a.overdue)) {
-    answer_times_.AddGivenUp(now_ - a.sent);
+    answer_times_.AddAbandoned(now_ - a.sent);
     if (!ZoneDown(s)) LearnZoneLatency(s, 2 * (now_ - a.sent));
   }
   // In a lost hall no failure is the server's own: it is to be well again as soon as its hall is.
--- a/src/choice/silence.cpp
+++ b/src/choice/silence.cpp
@@ -9,7 +9,7 @@
 // harmless and the retry budget has room. A merely loaded server still answers something, and where all
 // are slow the measure grows with them.
 void Balancer::Core::EjectUnresponsive() {
-  if (!answer_times_.Known() || !settings_.allowed.cancel) return;
+  if (!answer_times_.HasEnoughSamples() || !settings_.allowed.cancel) return;
   const Duration most = std::max<Duration>(MinPatience(longest_aim_), 2 * answer_times_.Quantile(0.95));
   for (ServerId id : up_servers_) {
     Server& s = servers_[id];
@@ -56,7 +56,7 @@
 // tier that is merely slow neither is likelier, and nothing is sent twice. The origin goes on with what
 // it was sent: it gets longer than answers ever take, and keeps all while it is strained.
 void Balancer::Core::CancelOverdue() {
-  if (!answer_times_.Known() || !settings_.allowed.cancel) return;
+  if (!answer_times_.HasEnoughSamples() || !settings_.allowed.cancel) return;
   const Duration slowest = FromSeconds(kOriginPatience * Seconds(answer_times_.Quantile(0.99)));
   double room = RemainingRetryBudget();
   for (auto& [key, r] : requests_) {
@@ -71,11 +71,13 @@
       continue;
     if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts) continue;
     // A miss may come between, and a fetch after it: half as much again as one answer takes.
-    const double again = retry_success_share_ * answer_times_.Chance(Duration(0), 2 * (last - now_) / 3);
+    const double again =
+        retry_success_share_ * answer_times_.ChanceWithin(Duration(0), 2 * (last - now_) / 3);
     if (IsOrigin(s)) {
       if (out < slowest || origin_limiter_.Overloaded() || again < 0.5) continue;
     } else {
-      const double stay = ZoneDown(s) ? 0 : (1 - s.failure_share) * answer_times_.Chance(out, last - now_);
+      const double stay =
+          ZoneDown(s) ? 0 : (1 - s.failure_share) * answer_times_.ChanceWithin(out, last - now_);
       if (again < stay + kRetryMinGain) continue;
     }
     const bool keyed = c.effect == Effect::kKeyed && c.group == Group::kAll && now_ - a.sent < c.window / 2;
--- a/src/sight/times.h
+++ b/src/sight/times.h
@@ -13,41 +13,41 @@
 namespace beechledge {
 
 // Answer times on a logarithmic scale, old ones fading; gives quantiles.
-class Times {
+class AnswerTimes {
  public:
   void Add(Duration d) {
     counts_[Bucket(d)] += 1;
-    total_ += 1;
-    if (total_ + never_ > 1000) {
+    answered_ += 1;
+    if (answered_ + unanswered_ > 1000) {
       for (double& c : counts_) c *= 0.5;
-      total_ *= 0.5;
-      never_ *= 0.5;
+      answered_ *= 0.5;
+      unanswered_ *= 0.5;
     }
   }
   // What was given up after `d` would have been answered later or never: its weight goes to what is known
   // of those, in proportion (redistribution to the right, as Efron describes for the Kaplan-Meier
   // estimate).
-  void AddGivenUp(Duration d) {
-    const double later = total_ + never_ - Below(d);
+  void AddAbandoned(Duration d) {
+    const double later = answered_ + unanswered_ - CountUpTo(d);
     if (later < 1) {
-      never_ += 1;
+      unanswered_ += 1;
       return;
     }
     const std::size_t from = Bucket(d) + 1;
     for (std::size_t i = from; i < counts_.size(); ++i) {
-      total_ += counts_[i] / later;
+      answered_ += counts_[i] / later;
       counts_[i] += counts_[i] / later;
     }
-    never_ += never_ / later;
+    unanswered_ += unanswered_ / later;
   }
   // The chance that one which has been out for `out` is answered within `more`.
-  double Chance(Duration out, Duration more) const {
-    const double later = total_ + never_ - Below(out);
-    return later <= 0 || more <= Duration(0) ? 0 : (Below(out + more) - Below(out)) / later;
+  double ChanceWithin(Duration out, Duration more) const {
+    const double later = answered_ + unanswered_ - CountUpTo(out);
+    return later <= 0 || more <= Duration(0) ? 0 : (CountUpTo(out + more) - CountUpTo(out)) / later;
   }
-  bool Known() const { return total_ >= 20; }
+  bool HasEnoughSamples() const { return answered_ >= 20; }
   Duration Quantile(double q) const {
-    double left = q * total_;
+    double left = q * answered_;
     for (int i = 0; i < kBuckets; ++i) {
       left -= counts_[static_cast<std::size_t>(i)];
       if (left <= 0) return FromSeconds(std::exp2((i - 15.5) / 4) / 1e3);
@@ -61,15 +61,15 @@
     const double ms = std::max(0.01, Seconds(d) * 1e3);
     return static_cast<std::size_t>(std::clamp(static_cast<int>(std::log2(ms) * 4) + 16, 0, kBuckets - 1));
   }
-  double Below(Duration d) const {
+  double CountUpTo(Duration d) const {
     const std::size_t last = Bucket(d);
     double sum = 0;
     for (std::size_t i = 0; i <= last; ++i) sum += counts_[i];
     return sum;
   }
   std::array<double, kBuckets> counts_{};
-  double total_ = 0;  // answered
-  double never_ = 0;  // of those given up, what no later answer accounts for
+  double answered_ = 0;    // answered
+  double unanswered_ = 0;  // of those given up, what no later answer accounts for
 };
 
 }  // namespace beechledge
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -148,13 +148,13 @@
   EXPECT_TRUE(t.Find(KeyTable::kMaxKeys)->holders.empty());
 }
 
-TEST(Times, WhatWasGivenUpCountsWithWhatCameLater) {
-  Times t;
+TEST(AnswerTimes, WhatWasGivenUpCountsWithWhatCameLater) {
+  AnswerTimes t;
   for (int i = 0; i < 100; ++i) t.Add(milliseconds(i < 50 ? 20 : 200));
-  const double before = t.Chance(milliseconds(50), milliseconds(400));
+  const double before = t.ChanceWithin(milliseconds(50), milliseconds(400));
   EXPECT_GT(before, 0.95);
-  for (int i = 0; i < 100; ++i) t.AddGivenUp(milliseconds(1000));
-  EXPECT_LT(t.Chance(milliseconds(50), milliseconds(400)), 0.6 * before);
+  for (int i = 0; i < 100; ++i) t.AddAbandoned(milliseconds(1000));
+  EXPECT_LT(t.ChanceWithin(milliseconds(50), milliseconds(400)), 0.6 * before);
 }
 
 // Whatever the calls before came to, and one more after it: what discovery had when it could be reached is
