--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -110,7 +110,7 @@
   retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryBudget);
   SetRequestTimer(TimerKind::kDeadline, r.id, r.deadline);
   latencies_.AdjustWeights(now_);
-  sustained_answers_.Hold(now_, kSustainedTau, SampleRate());
+  sustained_answers_.Advance(now_, kSustainedTau, SampleRate());
   if (!watch_timer_set_) SetRequestTimer(TimerKind::kWatch, 0, now_ + kWatchInterval);
   watch_timer_set_ = true;
   r.shed = ShouldShed(r);
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -18,7 +18,7 @@
 }
 
 void Balancer::Core::AdjustInflight(Server& s, int change) {
-  s.load.Hold(now_, kLoadTau, s.inflight);
+  s.load.Advance(now_, kLoadTau, s.inflight);
   if (s.inflight == 0) s.last_activity = now_;
   s.inflight = std::max(0, s.inflight + change);
 }
--- a/src/sight/smoothed.h
+++ b/src/sight/smoothed.h
@@ -22,7 +22,7 @@
   double Read(Time now, Duration tau, double level = 0) const {
     return level + (value - level) * std::exp(-Seconds(now - at) / Seconds(tau));
   }
-  void Hold(Time now, Duration tau, double level) {
+  void Advance(Time now, Duration tau, double level) {
     value = Read(now, tau, level);
     at = now;
   }
