--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -12,10 +12,10 @@
 
 TEST(Lard, AKeyAtRestStaysWithItsServer) {
   Driver d;
-  d.Servers(8);
+  d.SetServers(8);
   const int first = d.Serve("a");
   for (int i = 0; i < 50; ++i) {
-    d.Pass(milliseconds(100));
+    d.Advance(milliseconds(100));
     EXPECT_EQ(d.Serve("a"), first);
   }
 }
@@ -24,8 +24,8 @@
   Settings other = PlainSettings();
   other.me = 3;
   Driver a, b(other, 99);
-  a.Servers(8);
-  b.Servers(8);
+  a.SetServers(8);
+  b.SetServers(8);
   std::set<int> used;
   for (int i = 0; i < 100; ++i) {
     const int at_a = a.Serve(Key(i), milliseconds(1));
@@ -37,7 +37,7 @@
 
 TEST(Lard, AServerThatLeavesMovesOnlyItsOwnKeys) {
   Driver d;
-  d.Servers(8);
+  d.SetServers(8);
   std::map<int, int> before;
   for (int i = 0; i < 200; ++i) before[i] = d.Serve(Key(i), milliseconds(1));
   ServerEntry gone = Up(3);
@@ -55,7 +55,7 @@
 
 TEST(Lard, AServerThatJoinsTakesNoMappedKey) {
   Driver d;
-  d.Servers(8);
+  d.SetServers(8);
   std::map<int, int> before;
   for (int i = 0; i < 200; ++i) before[i] = d.Serve(Key(i), milliseconds(1));
   d.List(ListKind::kChanges, {Up(8)});
@@ -66,12 +66,12 @@
 // a holder at load L costs L - 30 + 1, an idle stranger 50 + 0.
 TEST(Lard, AHotKeySpreadsWhenItsHolderIsLoaded) {
   Driver d;
-  d.Servers(8);
+  d.SetServers(8);
   const int holder = d.Serve("hot");
   std::set<int> used;
   for (int i = 0; i < 200; ++i) {
-    used.insert(d.Ask("hot", 0, seconds(30)));  // never answered: in-flight grows
-    d.Pass(milliseconds(50));
+    used.insert(d.Submit("hot", 0, seconds(30)));  // never answered: in-flight grows
+    d.Advance(milliseconds(50));
   }
   EXPECT_TRUE(used.contains(holder));
   EXPECT_GT(used.size(), 1u);
@@ -81,16 +81,16 @@
   Settings s = PlainSettings();
   s.balancers = 40;
   Driver d(s);
-  d.Servers(20);
+  d.SetServers(20);
   const int holder = d.Serve("a");
-  EXPECT_EQ(d.Ask("a"), holder);
-  d.Pass(milliseconds(30));
-  EXPECT_EQ(d.Ask("a"), holder);
+  EXPECT_EQ(d.Submit("a"), holder);
+  d.Advance(milliseconds(30));
+  EXPECT_EQ(d.Submit("a"), holder);
 }
 
 TEST(Lard, ARestartedServerHoldsNothing) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   std::map<int, int> before;
   for (int i = 0; i < 40; ++i) before[i] = d.Serve(Key(i));
   d.List(ListKind::kChanges, {Up(0, d.now)});  // cold, with next to no budget
@@ -101,21 +101,21 @@
 
 TEST(Health, AServerThatRefusesConnectionsIsLeftAndComesBack) {
   Driver d;
-  d.Servers(5);
+  d.SetServers(5);
   std::string key;
   for (int i = 0; key.empty(); ++i) {
     if (d.Serve(Key(i)) == 2) key = Key(i);
   }
   for (int i = 0; i < 4; ++i) {
-    d.Ask(key);
-    if (d.sends.back().send.server == 2) d.Ends(d.last_id, 0, Result::kConnectFailed);
-    d.Pass(milliseconds(20));
+    d.Submit(key);
+    if (d.sends.back().send.server == 2) d.EndAttempt(d.last_id, 0, Result::kConnectFailed);
+    d.Advance(milliseconds(20));
   }
-  EXPECT_NE(d.Ask(key), 2);
+  EXPECT_NE(d.Submit(key), 2);
   d.AnswerAll();
   bool back = false;
   for (int i = 0; i < 400 && !back; ++i) {
-    d.Pass(milliseconds(50));
+    d.Advance(milliseconds(50));
     back = d.Serve(key) == 2;
     d.AnswerAll();
   }
@@ -124,12 +124,12 @@
 
 TEST(Health, QuickErrorsDoNotDrawKeys) {
   Driver d;
-  d.Servers(5);
+  d.SetServers(5);
   for (int i = 0; i < 200; ++i) {
-    const int server = d.Ask(Key(i));
-    d.Pass(milliseconds(2));
-    d.Ends(d.last_id, 0, server == 1 ? Result::kError : Result::kOk, milliseconds(2));
-    d.Pass(milliseconds(5));
+    const int server = d.Submit(Key(i));
+    d.Advance(milliseconds(2));
+    d.EndAttempt(d.last_id, 0, server == 1 ? Result::kError : Result::kOk, milliseconds(2));
+    d.Advance(milliseconds(5));
   }
   int at_bad = 0;
   for (int i = 0; i < 100; ++i) at_bad += d.Serve("new" + Key(i), milliseconds(2)) == 1;
@@ -140,28 +140,28 @@
 // too.
 TEST(Fetches, OneFetchAKeyAtATime) {
   Driver d;
-  d.Servers(4);
-  EXPECT_GE(d.Ask("a"), 0);
-  EXPECT_EQ(d.Ask("a"), -1);
-  EXPECT_EQ(d.Ask("a"), -1);
-  d.Pass(milliseconds(40));
-  d.Ends(1, 0, Result::kOk);
-  d.Pass(milliseconds(30));
+  d.SetServers(4);
+  EXPECT_GE(d.Submit("a"), 0);
+  EXPECT_EQ(d.Submit("a"), -1);
+  EXPECT_EQ(d.Submit("a"), -1);
+  d.Advance(milliseconds(40));
+  d.EndAttempt(1, 0, Result::kOk);
+  d.Advance(milliseconds(30));
   EXPECT_EQ(d.sends.size(), 3u);
 }
 
 // Guards against the collapse in which fetches beyond the origin's pace all time out and nothing is kept.
 TEST(Fetches, FailingFetchesLowerTheirLimit) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int round = 0; round < 40; ++round) {
-    for (int i = 0; i < 20; ++i) d.Ask(Key(round * 20 + i));
-    d.Pass(milliseconds(300));
+    for (int i = 0; i < 20; ++i) d.Submit(Key(round * 20 + i));
+    d.Advance(milliseconds(300));
     d.AnswerAll(Result::kError);
-    d.Pass(seconds(1));
+    d.Advance(seconds(1));
   }
   const std::size_t before = d.sends.size();
-  for (int i = 0; i < 20; ++i) d.Ask("last" + Key(i));
+  for (int i = 0; i < 20; ++i) d.Submit("last" + Key(i));
   EXPECT_LE(d.sends.size() - before, 2u);
 }
 
@@ -171,17 +171,17 @@
   Settings s = PlainSettings();
   s.classes[0].aim = seconds(2);
   Driver d(s);
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 300; ++i) d.Serve("calm" + Key(i), milliseconds(20));
   std::size_t next = d.sends.size(), most = 0;
   // It answers one each 5 ms, the oldest first; twice as many are asked for.
   for (int step = 0; step < 900; ++step) {
-    for (int i = 0; i < 2; ++i) d.Ask("more" + Key(step * 2 + i));
-    d.Pass(milliseconds(5));
+    for (int i = 0; i < 2; ++i) d.Submit("more" + Key(step * 2 + i));
+    d.Advance(milliseconds(5));
     most = std::max(most, d.sends.size() - next);
     if (next == d.sends.size()) continue;
     const RequestId id = d.sends[next++].send.id;
-    d.Ends(id, 0, Result::kOk);
+    d.EndAttempt(id, 0, Result::kOk);
   }
   EXPECT_LE(most, 30u);  // by a yardstick that follows the queue it is 44 by now, and grows
 }
@@ -189,27 +189,27 @@
 // Guards against taking a copy that is gone for one that is kept: the repeat must count as a fetch.
 TEST(Fetches, AnErrorUnconfirmsTheHolder) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   d.Serve("a");
-  d.Ask("a");
-  d.Ends(d.last_id, 0, Result::kError);
+  d.Submit("a");
+  d.EndAttempt(d.last_id, 0, Result::kError);
   d.AnswerAll(Result::kError);
-  EXPECT_GE(d.Ask("a"), 0);
-  EXPECT_EQ(d.Ask("a"), -1);
+  EXPECT_GE(d.Submit("a"), 0);
+  EXPECT_EQ(d.Submit("a"), -1);
 }
 
 // Guards against turned-away requests making a full server look idle.
 TEST(Lard, ATurnedAwayRequestCountsAsLoad) {
   Driver d;
-  d.Servers(6);
+  d.SetServers(6);
   const int holder = d.Serve("hot");
   int elsewhere = 0;
   for (int i = 0; i < 150; ++i) {
-    const int at = d.Ask("hot");
+    const int at = d.Submit("hot");
     elsewhere += at != holder;
-    d.Pass(milliseconds(1));
-    d.Ends(d.last_id, 0, at == holder ? Result::kFull : Result::kOk);
-    d.Pass(milliseconds(10));
+    d.Advance(milliseconds(1));
+    d.EndAttempt(d.last_id, 0, at == holder ? Result::kFull : Result::kOk);
+    d.Advance(milliseconds(10));
     d.AnswerAll();
   }
   EXPECT_GT(elsewhere, 50);  // none, if what is turned away left no mark
@@ -220,14 +220,14 @@
 // opened a connection for nearly every attempt.
 TEST(Connections, IdleOnesAreGivenBackWhereOneWasRefusedAndNowhereElse) {
   Driver d;
-  d.Servers(3);
+  d.SetServers(3);
   const ServerId other = static_cast<ServerId>(d.Serve("a"));
   EXPECT_TRUE(d.closed.empty());
   int refused = -1;
   for (int i = 0; refused < 0 || refused == static_cast<int>(other); ++i) {
-    refused = d.Ask("b" + std::to_string(i));
+    refused = d.Submit("b" + std::to_string(i));
   }
-  d.Ends(d.last_id, 0, Result::kConnectFailed);
+  d.EndAttempt(d.last_id, 0, Result::kConnectFailed);
   d.AnswerAll();
   EXPECT_EQ(d.closed, std::vector<ServerId>{static_cast<ServerId>(refused)});
   d.closed.clear();
@@ -239,25 +239,25 @@
 // still wait, and its harmless requests tried elsewhere.
 TEST(Silence, ABusyServerThatAnswersNothingIsLeftWhileOthersAnswer) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("warm" + std::to_string(i));
-  const int silent = d.Ask("k0", 0, seconds(5));
+  const int silent = d.Submit("k0", 0, seconds(5));
   const RequestId stuck = d.last_id;
   for (int i = 1, there = 1; i < 100 && there < 3; ++i) {  // it gets more, and answers none of them
-    if (d.Ask("k" + std::to_string(i)) == silent) {
+    if (d.Submit("k" + std::to_string(i)) == silent) {
       ++there;
     } else {
-      d.Ends(d.last_id, 0, Result::kOk);
+      d.EndAttempt(d.last_id, 0, Result::kOk);
     }
   }
   for (int i = 0; i < 60 && d.cancelled.empty(); ++i) {
-    const int at = d.Ask("later" + std::to_string(i));
-    d.Pass(milliseconds(25));
-    if (at != silent) d.Ends(d.last_id, 0, Result::kOk);
+    const int at = d.Submit("later" + std::to_string(i));
+    d.Advance(milliseconds(25));
+    if (at != silent) d.EndAttempt(d.last_id, 0, Result::kOk);
   }
   ASSERT_FALSE(d.cancelled.empty());
   const auto taken_back = d.cancelled;
-  for (const auto& [id, attempt] : taken_back) d.Ends(id, attempt, Result::kCancelled);
+  for (const auto& [id, attempt] : taken_back) d.EndAttempt(id, attempt, Result::kCancelled);
   EXPECT_EQ(d.attempts[stuck], 2);
   for (std::size_t n = d.sends.size() - taken_back.size(); n < d.sends.size(); ++n) {
     EXPECT_NE(static_cast<int>(d.sends[n].send.server), silent);
@@ -266,12 +266,12 @@
 
 TEST(Silence, AServerWithOneLongRequestIsNotTakenForSilent) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("warm" + std::to_string(i));
-  const int home = d.Ask("long");
+  const int home = d.Submit("long");
   for (int i = 0; i < 30; ++i) d.Serve("later" + std::to_string(i), milliseconds(25));
   EXPECT_LE(d.cancelled.size(), 1u);  // that request may be tried again
-  EXPECT_EQ(d.Ask("long"), home);     // and the server is not left for it
+  EXPECT_EQ(d.Submit("long"), home);  // and the server is not left for it
 }
 
 // Guards against late refusals of what was never tried, and tells when to come back within what is allowed.
@@ -283,39 +283,39 @@
   Driver d(s);
   d.List(ListKind::kRemembered, {});
   const Time start = d.now;
-  d.Ask("a", 0, milliseconds(800));
-  d.Pass(seconds(1));
+  d.Submit("a", 0, milliseconds(800));
+  d.Advance(seconds(1));
   ASSERT_EQ(d.refused.size(), 1u);
   EXPECT_LT(d.refused_at[0] - start, milliseconds(400));
-  EXPECT_GT(d.come_back[0], Duration(0));
-  EXPECT_LE(d.come_back[0], seconds(2));
+  EXPECT_GT(d.retry_after[0], Duration(0));
+  EXPECT_LE(d.retry_after[0], seconds(2));
 }
 
 // Guards against taking a server for sick, and its keys elsewhere, for answers spoilt on their way.
 TEST(Lard, ASpoiltAnswerIsAskedForAgainWhereTheKeyIs) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   const int home = d.Serve("a");
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(d.Ask("a"), home);
-    d.Ends(d.last_id, 0, Result::kSpoilt);
+    EXPECT_EQ(d.Submit("a"), home);
+    d.EndAttempt(d.last_id, 0, Result::kSpoilt);
     EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // may run again: it is a read
     EXPECT_EQ(d.sends.back().attempt, 1);
-    d.Ends(d.last_id, 1, Result::kOk);
+    d.EndAttempt(d.last_id, 1, Result::kOk);
     for (int n = 0; n < 3; ++n) EXPECT_EQ(d.Serve("a"), home);
   }
-  d.Ask("a");
-  d.Ends(d.last_id, 0, Result::kSpoilt);
-  d.Ends(d.last_id, 1, Result::kSpoilt);
+  d.Submit("a");
+  d.EndAttempt(d.last_id, 0, Result::kSpoilt);
+  d.EndAttempt(d.last_id, 1, Result::kSpoilt);
   EXPECT_NE(static_cast<int>(d.sends.back().send.server), home);  // twice is enough
-  EXPECT_NE(d.Ask("p", 1), -1);
-  d.Ends(d.last_id, 0, Result::kSpoilt);
+  EXPECT_NE(d.Submit("p", 1), -1);
+  d.EndAttempt(d.last_id, 0, Result::kSpoilt);
   EXPECT_EQ(d.failed.back(), d.last_id);  // must never run twice, and has run
 }
 
 TEST(Lard, AServerUnderTheIdOfOneThatIsGoneInheritsNothing) {
   Driver d;
-  d.Servers(3);
+  d.SetServers(3);
   const int home = d.Serve("a");
   ServerEntry gone = Up(static_cast<ServerId>(home));
   gone.availability = Availability::kRemoved;
@@ -324,34 +324,34 @@
   ServerEntry fresh = Up(static_cast<ServerId>(home));
   fresh.name = "another";
   d.List(ListKind::kChanges, {fresh});
-  d.Pass(milliseconds(1));
+  d.Advance(milliseconds(1));
   EXPECT_EQ(d.Serve("a"), other);  // the new one is not taken for a holder
 }
 
 // Guards against resets on all servers alike, which once ejected sound ones and moved their keys.
 TEST(Health, TwoResetsInARowTakeNoServerOut) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   const int home = d.Serve("a");
-  d.Ask("a");
-  d.Ends(d.last_id, 0, Result::kReset);
+  d.Submit("a");
+  d.EndAttempt(d.last_id, 0, Result::kReset);
   EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // it has the key, and may be asked again
-  d.Ends(d.last_id, 1, Result::kReset);
+  d.EndAttempt(d.last_id, 1, Result::kReset);
   EXPECT_NE(static_cast<int>(d.sends.back().send.server), home);
-  d.Ends(d.last_id, 2, Result::kOk);
-  EXPECT_EQ(d.Ask("a"), home);
+  d.EndAttempt(d.last_id, 2, Result::kOk);
+  EXPECT_EQ(d.Submit("a"), home);
 }
 
 // Guards against taking a server out for what its process before the last start was asked.
 TEST(Health, FailuresOfAnEarlierLifeTakeNoServerOut) {
   for (const bool restarts : {false, true}) {
     Driver d;
-    d.Servers(4);
+    d.SetServers(4);
     const int home = d.Serve("a");
     for (int i = 0; i < 20; ++i) d.Serve("a");
     std::vector<RequestId> open;
     for (int i = 0; i < 6; ++i) {
-      ASSERT_EQ(d.Ask("a"), home);
+      ASSERT_EQ(d.Submit("a"), home);
       open.push_back(d.last_id);
     }
     if (restarts) {
@@ -359,7 +359,7 @@
       anew.started = d.now;
       d.List(ListKind::kChanges, {anew});
     }
-    for (const RequestId id : open) d.Ends(id, 0, Result::kError);
+    for (const RequestId id : open) d.EndAttempt(id, 0, Result::kError);
     EXPECT_EQ(d.Avoids(static_cast<ServerId>(home)), !restarts);
   }
 }
@@ -368,22 +368,22 @@
 // would tell.
 TEST(Health, AnOverdueAttemptIsTakenBackOnceWhileItCanStillBeInTime) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   int home = -1;
   for (int i = 0; i < 30; ++i) home = d.Serve("a", milliseconds(10));
-  d.Ask("a");
+  d.Submit("a");
   const RequestId lost = d.last_id;
-  d.Ask("a", 1);
+  d.Submit("a", 1);
   const RequestId unsafe = d.last_id;
   for (int i = 0; i < 3; ++i) d.Serve("a", milliseconds(10));  // the server is at work
   EXPECT_TRUE(d.cancelled.empty());
-  d.Pass(milliseconds(70));           // the aim is 250 ms, the client's own end a second
+  d.Advance(milliseconds(70));        // the aim is 250 ms, the client's own end a second
   ASSERT_EQ(d.cancelled.size(), 1u);  // not the one that must never run twice
   EXPECT_EQ(d.cancelled[0], std::pair(lost, 0));
-  d.Ends(lost, 0, Result::kCancelled);
+  d.EndAttempt(lost, 0, Result::kCancelled);
   EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);
   EXPECT_EQ(d.sends.back().send.id, lost);
-  d.Pass(milliseconds(400));
+  d.Advance(milliseconds(400));
   EXPECT_EQ(d.cancelled.size(), 1u);  // once
   EXPECT_NE(unsafe, lost);
 }
@@ -391,16 +391,16 @@
 // Guards against patience beyond the aim, where some answers usually take nearly as long as that.
 TEST(Health, AnAttemptIsTakenBackWhileAnotherCanStillBeInTime) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   const auto lose_one = [&d] {  // a connection falls silent; what is asked again is answered at once
     const std::size_t before = d.cancelled.size();
-    d.Ask("a");
+    d.Submit("a");
     const RequestId lost = d.last_id;
-    d.Pass(milliseconds(225));
+    d.Advance(milliseconds(225));
     if (d.cancelled.size() == before) return false;
-    d.Ends(lost, 0, Result::kCancelled);
-    d.Pass(milliseconds(10));
-    d.Ends(lost, 1, Result::kOk);
+    d.EndAttempt(lost, 0, Result::kCancelled);
+    d.Advance(milliseconds(10));
+    d.EndAttempt(lost, 1, Result::kOk);
     return true;
   };
   for (int i = 0; i < 100; ++i) d.Serve("a", milliseconds(20));
@@ -416,21 +416,21 @@
 // In a tier that is merely slow a second attempt is as slow as the first.
 TEST(Health, WhereAskingAgainDoesNotHelpSlowAttemptsAreLeft) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 100; ++i) d.Serve("a", milliseconds(20));
   std::size_t early = 0;
   for (int i = 0; i < 40; ++i) {
     const std::size_t before = d.cancelled.size();
-    d.Ask("a");
+    d.Submit("a");
     const RequestId slow = d.last_id;
-    d.Pass(milliseconds(150));
+    d.Advance(milliseconds(150));
     if (d.cancelled.size() > before) {
       early += i < 20;
-      d.Ends(slow, 0, Result::kCancelled);
-      d.Pass(milliseconds(150));  // past the aim again
-      d.Ends(slow, 1, Result::kOk);
+      d.EndAttempt(slow, 0, Result::kCancelled);
+      d.Advance(milliseconds(150));  // past the aim again
+      d.EndAttempt(slow, 1, Result::kOk);
     } else {
-      d.Ends(slow, 0, Result::kOk);
+      d.EndAttempt(slow, 0, Result::kOk);
     }
     for (int k = 0; k < 5; ++k) d.Serve("b" + std::to_string(k), milliseconds(20));
   }
@@ -454,13 +454,13 @@
   }
   // One request; those at `dead` servers end so, at the client's end or as their connection fails.
   int Next(const std::string& key, Result result = Result::kTimeout) {
-    const int at = d.Ask(key, 0, seconds(1));
-    d.Pass(at % 2 == 0 ? home_takes : milliseconds(40));
+    const int at = d.Submit(key, 0, seconds(1));
+    d.Advance(at % 2 == 0 ? home_takes : milliseconds(40));
     if (at >= 0 && !d.concluded.contains({d.last_id, 0})) {
-      d.Ends(d.last_id, 0, dead.contains(at) ? result : Result::kOk);
+      d.EndAttempt(d.last_id, 0, dead.contains(at) ? result : Result::kOk);
       d.AnswerAll();
     }
-    d.Pass(milliseconds(26));
+    d.Advance(milliseconds(26));
     return at;
   }
   std::set<int> dead;
@@ -480,7 +480,7 @@
     bool back = false;
     for (int i = 0; i < 600 && !back; ++i) back = Next("other" + std::to_string(i)) == home;
     EXPECT_TRUE(back);
-    d.Pass(seconds(30));  // and forgotten
+    d.Advance(seconds(30));  // and forgotten
     for (int i = 0; i < 300; ++i) Next("more" + std::to_string(i));
   }
 }
@@ -573,10 +573,10 @@
 // Guards against taking back, by silence and by patience at once, more than may be asked again.
 TEST(Health, NoMoreIsTakenBackThanTheRetryBudgetBears) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("a");
-  for (int i = 0; i < 48; ++i) d.Ask("k" + std::to_string(i));  // and nobody answers
-  while (d.cancelled.empty() && d.now < seconds(200)) d.Pass(milliseconds(1));
+  for (int i = 0; i < 48; ++i) d.Submit("k" + std::to_string(i));  // and nobody answers
+  while (d.cancelled.empty() && d.now < seconds(200)) d.Advance(milliseconds(1));
   EXPECT_GE(d.cancelled.size(), 5u);
   EXPECT_LE(d.cancelled.size(), 10u);
 }
@@ -587,12 +587,12 @@
     s.classes[0].aim = milliseconds(250) * scale;
     s.classes[0].deadline = seconds(4);
     Driver d(s);
-    d.Servers(4);
+    d.SetServers(4);
     for (int i = 0; i < 30; ++i) d.Serve("a", milliseconds(10));
-    d.Ask("a", 0, seconds(4));
-    d.Pass(milliseconds(50) * scale);
+    d.Submit("a", 0, seconds(4));
+    d.Advance(milliseconds(50) * scale);
     EXPECT_TRUE(d.cancelled.empty());
-    d.Pass(milliseconds(60) * scale);
+    d.Advance(milliseconds(60) * scale);
     EXPECT_EQ(d.cancelled.size(), 1u);
   }
 }
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -58,7 +58,7 @@
       : balancer_(settings, seed) {}
 
   // Moves the clock, firing timers that fall due on the way.
-  void To(Time t) {
+  void AdvanceTo(Time t) {
     while (!timers_.empty() && timers_.begin()->first <= t) {
       const auto [at, token] = *timers_.begin();
       timers_.erase(timers_.begin());
@@ -67,7 +67,7 @@
     }
     now = std::max(now, t);
   }
-  void Pass(Duration d) { To(now + d); }
+  void Advance(Duration d) { AdvanceTo(now + d); }
 
   void Feed(const Event& e) {
     Actions out;
@@ -78,7 +78,7 @@
       } else if (const auto* refuse = std::get_if<Refuse>(&a)) {
         refused.push_back(refuse->id);
         refused_at.push_back(now);
-        come_back.push_back(refuse->retry_after);
+        retry_after.push_back(refuse->retry_after);
       } else if (const auto* fail = std::get_if<Fail>(&a)) {
         failed.push_back(fail->id);
       } else if (const auto* timer = std::get_if<SetTimer>(&a)) {
@@ -98,14 +98,14 @@
   void Recall(const Kept& kept, double faith = 1) { balancer_.Recall(now, kept, faith); }
 
   void List(ListKind kind, std::vector<ServerEntry> entries) { Feed(ServerList{kind, std::move(entries)}); }
-  void Servers(ServerId n) {
+  void SetServers(ServerId n) {
     std::vector<ServerEntry> entries;
     for (ServerId id = 0; id < n; ++id) entries.push_back(Up(id));
     List(ListKind::kRemembered, entries);
   }
 
   // Asks, and returns the server it was sent to at once; -1 when none.
-  int Ask(const std::string& key, int request_class = 0, Duration ttl = seconds(1), bool write = false) {
+  int Submit(const std::string& key, int request_class = 0, Duration ttl = seconds(1), bool write = false) {
     NewRequest r;
     r.id = ++last_id;
     r.request_class = request_class;
@@ -116,7 +116,7 @@
     Feed(r);
     return sends.size() > before ? static_cast<int>(sends.back().send.server) : -1;
   }
-  void Ends(RequestId id, int attempt, Result result, Duration latency = milliseconds(20)) {
+  void EndAttempt(RequestId id, int attempt, Result result, Duration latency = milliseconds(20)) {
     for (const Sent& s : sends) {
       if (s.send.id == id && s.attempt == attempt) {
         Outcome o;
@@ -136,15 +136,15 @@
   void AnswerAll(Result result = Result::kOk) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       const auto [id, attempt] = std::pair(sends[i].send.id, sends[i].attempt);
-      if (!concluded.contains({id, attempt})) Ends(id, attempt, result);
+      if (!concluded.contains({id, attempt})) EndAttempt(id, attempt, result);
     }
   }
   // One request from its arrival to its answer.
   int Serve(const std::string& key, Duration takes = milliseconds(20)) {
-    const int server = Ask(key);
+    const int server = Submit(key);
     const RequestId id = last_id;
-    Pass(takes);
-    Ends(id, 0, Result::kOk, takes);
+    Advance(takes);
+    EndAttempt(id, 0, Result::kOk, takes);
     return server;
   }
 
@@ -160,7 +160,7 @@
   std::set<std::pair<RequestId, int>> concluded;
   std::vector<RequestId> refused, failed;
   std::vector<Time> refused_at, subscribed;
-  std::vector<Duration> come_back;
+  std::vector<Duration> retry_after;
   std::vector<std::pair<RequestId, int>> cancelled;
   std::vector<ServerId> closed;  // whose idle connections were given back
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,33 +11,33 @@
 
 TEST(Answers, EachRequestEndsByItsDeadline) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a", 0, milliseconds(400));
+  d.SetServers(3);
+  d.Submit("a", 0, milliseconds(400));
   const RequestId id = d.last_id;
-  d.Pass(milliseconds(399));
+  d.Advance(milliseconds(399));
   EXPECT_TRUE(d.refused.empty() && d.failed.empty());
-  d.Pass(milliseconds(2));
+  d.Advance(milliseconds(2));
   EXPECT_EQ(d.refused, std::vector<RequestId>{id});
 }
 
 TEST(Answers, WithoutServersARequestIsHeldAndThenEnded) {
   Driver d;
   d.List(ListKind::kRemembered, {});
-  EXPECT_EQ(d.Ask("a"), -1);
-  d.Pass(milliseconds(200));
+  EXPECT_EQ(d.Submit("a"), -1);
+  d.Advance(milliseconds(200));
   d.List(ListKind::kChanges, {Up(0)});
   EXPECT_EQ(d.sends.size(), 1u);
-  d.Pass(seconds(2));
+  d.Advance(seconds(2));
   EXPECT_EQ(d.refused.size() + d.failed.size(), 1u);
 }
 
 TEST(Answers, NothingGoesOutAfterTheEnd) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a");
+  d.SetServers(3);
+  d.Submit("a");
   d.Feed(ClientGone{d.last_id});
-  d.Ends(d.last_id, 0, Result::kError);
-  d.Pass(seconds(3));
+  d.EndAttempt(d.last_id, 0, Result::kError);
+  d.Advance(seconds(3));
   EXPECT_EQ(d.sends.size(), 1u);
   EXPECT_TRUE(d.refused.empty() && d.failed.empty());
 }
@@ -45,10 +45,10 @@
 TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherResentNorRefused) {
   for (const Result result : {Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled}) {
     Driver d;
-    d.Servers(3);
-    d.Ask("a", 1);
-    d.Ends(d.last_id, 0, result);
-    d.Pass(seconds(3));
+    d.SetServers(3);
+    d.Submit("a", 1);
+    d.EndAttempt(d.last_id, 0, result);
+    d.Advance(seconds(3));
     EXPECT_EQ(d.sends.size(), 1u);
     EXPECT_TRUE(d.refused.empty());
     EXPECT_EQ(d.failed.size(), 1u);
@@ -57,9 +57,9 @@
 
 TEST(Effects, AnUnsafeRequestThatNeverRanIsTriedAgain) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a", 1);
-  d.Ends(d.last_id, 0, Result::kConnectFailed);
+  d.SetServers(3);
+  d.Submit("a", 1);
+  d.EndAttempt(d.last_id, 0, Result::kConnectFailed);
   ASSERT_EQ(d.sends.size(), 2u);
   EXPECT_NE(d.sends[0].send.server, d.sends[1].send.server);
 }
@@ -71,30 +71,30 @@
   for (ServerId id = 0; id < 8; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
   d.List(ListKind::kRemembered, entries);
   for (int i = 0; i < 20; ++i) {
-    const int first = d.Ask("k" + std::to_string(i), 2);
-    d.Ends(d.last_id, 0, Result::kReset);
+    const int first = d.Submit("k" + std::to_string(i), 2);
+    d.EndAttempt(d.last_id, 0, Result::kReset);
     EXPECT_EQ(d.sends.back().send.server % 2, static_cast<ServerId>(first % 2));
-    d.Pass(milliseconds(310));
+    d.Advance(milliseconds(310));
     const std::size_t before = d.sends.size();
-    d.Ends(d.last_id, 1, Result::kReset);
+    d.EndAttempt(d.last_id, 1, Result::kReset);
     EXPECT_EQ(d.sends.size(), before);  // past the window
-    d.Pass(seconds(2));
+    d.Advance(seconds(2));
   }
 }
 
 TEST(Effects, NoTwoAttemptsAtOnceWhereNotAllowed) {
   Driver d;  // parallel_tries is off
-  d.Servers(3);
+  d.SetServers(3);
   for (int i = 0; i < 50; ++i) d.Serve("a" + std::to_string(i));
   const std::size_t before = d.sends.size();
-  d.Ask("slow");
-  d.Pass(milliseconds(900));
+  d.Submit("slow");
+  d.Advance(milliseconds(900));
   EXPECT_EQ(d.sends.size(), before + 1);
 }
 
 TEST(Drains, ADrainingServerGetsNothing) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   ServerEntry draining = Up(0);
   draining.availability = Availability::kDraining;
   d.List(ListKind::kChanges, {draining});
@@ -103,7 +103,7 @@
 
 TEST(Drains, AServerLeftOutOfAWholeListIsGone) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   d.List(ListKind::kAll, {Up(1)});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(d.Serve("k" + std::to_string(i)), 1);
 }
@@ -112,7 +112,7 @@
 // the capacity is at least what it sends a warm one.
 TEST(Cold, AColdServerIsNotPushedOver) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 2000; ++i) d.Serve("w" + std::to_string(i), milliseconds(5));
   const Time start = d.now;
   d.List(ListKind::kChanges, {Up(9, start)});
@@ -140,18 +140,18 @@
   Driver d;
   d.List(ListKind::kRemembered, {Up(0), Up(1), Up(2, d.now - seconds(1))});
   int cold = 0;
-  for (int i = 0; i < 20; ++i) cold += d.Ask("k" + std::to_string(i)) == 2;
+  for (int i = 0; i < 20; ++i) cold += d.Submit("k" + std::to_string(i)) == 2;
   EXPECT_LE(cold, 1);
 }
 
 // Lists that cannot be right: each has an outcome, and no request is lost by it.
 TEST(Lists, AStartInTheFutureCountsAsNow) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   ServerEntry ahead = Up(2, d.now + seconds(3600));
   d.List(ListKind::kChanges, {ahead});
   for (int round = 0; round < 30; ++round) {  // warm after its ramp of 20 s, however often it is told
-    d.Pass(seconds(1));
+    d.Advance(seconds(1));
     d.List(ListKind::kChanges, {ahead});
     for (int i = 0; i < 20; ++i) d.Serve("k" + std::to_string(i), milliseconds(5));
   }
@@ -169,7 +169,7 @@
     s.balancers = balancers;
     s.list_must_be_asked = true;
     Driver d(s);
-    d.Servers(4);
+    d.SetServers(4);
     std::mt19937_64 random(7);
     std::size_t asked = 0, served = 0;
     for (int i = 0; i < 300; ++i) {
@@ -191,15 +191,15 @@
           d.List(ListKind::kRefused, {});
           break;
         default:
-          d.Servers(4);
+          d.SetServers(4);
       }
       ++asked;
-      d.Ask("k" + std::to_string(i % 9));
-      d.Pass(milliseconds(20));
+      d.Submit("k" + std::to_string(i % 9));
+      d.Advance(milliseconds(20));
       d.AnswerAll();
-      d.Pass(milliseconds(30));
+      d.Advance(milliseconds(30));
     }
-    d.Pass(seconds(3));
+    d.Advance(seconds(3));
     d.AnswerAll();
     for (const auto& sent : d.sends) served += d.concluded.contains({sent.send.id, sent.attempt});
     EXPECT_EQ(served + d.refused.size() + d.failed.size(), asked) << balancers;
@@ -275,7 +275,7 @@
     };
     d.List(ListKind::kRemembered, {});
     for (int step = 0; step < 600; ++step) {
-      d.Pass(milliseconds(pick(40)));
+      d.Advance(milliseconds(pick(40)));
       check();
       const int what = pick(10);
       if (what == 0) {
@@ -302,7 +302,7 @@
         const int c = pick(3);
         const Duration ttl = milliseconds(pick(1000) - 20);
         held[d.last_id + 1] = {c, d.now + ttl};
-        d.Ask("k" + std::to_string(pick(30)), c, ttl, pick(10) == 0);
+        d.Submit("k" + std::to_string(pick(30)), c, ttl, pick(10) == 0);
       } else if (!d.sends.empty()) {
         const Driver::Sent sent = d.sends[static_cast<std::size_t>(pick(static_cast<int>(d.sends.size())))];
         const std::pair<RequestId, int> which{sent.send.id, sent.attempt};
@@ -313,12 +313,12 @@
           const Result result = kResults[pick(8)];
           outcomes[which] = result;
           if (result == Result::kOk) held.at(sent.send.id).told_end = true;
-          d.Ends(sent.send.id, sent.attempt, result);
+          d.EndAttempt(sent.send.id, sent.attempt, result);
         }
       }
       check();
     }
-    d.Pass(seconds(3));
+    d.Advance(seconds(3));
     check();
     std::map<RequestId, int> ends;
     for (const RequestId id : d.refused) ++ends[id];
--- a/tests/sight/paces_test.cpp
+++ b/tests/sight/paces_test.cpp
@@ -115,16 +115,16 @@
   settings.origin = Origin::kAside;
   settings.origin_kind = 7;
   Driver d(settings);
-  d.Servers(4);
+  d.SetServers(4);
   std::multimap<Time, RequestId> due;
   const auto serve = [&](Time until, auto&& sent) {
     while (d.now < until) {
-      const int to = d.Ask("k" + std::to_string(d.last_id));
+      const int to = d.Submit("k" + std::to_string(d.last_id));
       if (to >= 0) due.emplace(d.now + (to == 9 ? cold_takes : Duration(milliseconds(200))), d.last_id);
       sent(to);
-      d.Pass(milliseconds(5));
+      d.Advance(milliseconds(5));
       while (!due.empty() && due.begin()->first <= d.now) {
-        d.Ends(due.begin()->second, d.attempts[due.begin()->second] - 1, Result::kOk);
+        d.EndAttempt(due.begin()->second, d.attempts[due.begin()->second] - 1, Result::kOk);
         due.erase(due.begin());
       }
     }
@@ -159,14 +159,14 @@
   std::multimap<Time, RequestId> due;
   const Time until = d.now + length;
   for (int i = 0; d.now < until; ++i) {
-    const int to = d.Ask("key" + std::to_string(i * 7919 % keys));
+    const int to = d.Submit("key" + std::to_string(i * 7919 % keys));
     if (to >= 0) {
       ++sent[to];
       due.emplace(d.now + takes.at(to), d.last_id);
     }
-    d.Pass(every);
+    d.Advance(every);
     while (!due.empty() && due.begin()->first <= d.now) {
-      d.Ends(due.begin()->second, d.attempts[due.begin()->second] - 1, Result::kOk);
+      d.EndAttempt(due.begin()->second, d.attempts[due.begin()->second] - 1, Result::kOk);
       due.erase(due.begin());
     }
   }
@@ -297,12 +297,12 @@
 // What was avoided is tried once, carefully, after the rest of its spell.
 TEST(Kept, AServerThatWasAvoidedIsTriedCarefully) {
   Driver first(AsideSettings(2)), again(AsideSettings(2));
-  for (Driver* d : {&first, &again}) d->Servers(4);
+  for (Driver* d : {&first, &again}) d->SetServers(4);
   for (int i = 0; i < 400; ++i) {
-    const int to = first.Ask("k" + std::to_string(i % 20));
+    const int to = first.Submit("k" + std::to_string(i % 20));
     const RequestId id = first.last_id;
-    first.Pass(milliseconds(5));
-    if (to >= 0) first.Ends(id, 0, to == 2 ? Result::kConnectFailed : Result::kOk);
+    first.Advance(milliseconds(5));
+    if (to >= 0) first.EndAttempt(id, 0, to == 2 ? Result::kConnectFailed : Result::kOk);
   }
   const Kept kept = first.Keep();
   const auto avoided = std::count_if(kept.servers.begin(), kept.servers.end(),
@@ -311,11 +311,11 @@
   again.now = first.now;
   again.Recall(kept);
   int there = 0;
-  for (int i = 0; i < 40; ++i) there += again.Ask("n" + std::to_string(i)) == 2;
+  for (int i = 0; i < 40; ++i) there += again.Submit("n" + std::to_string(i)) == 2;
   EXPECT_EQ(there, 0);
   again.AnswerAll();
-  again.Pass(seconds(10));
-  for (int i = 0; i < 40; ++i) there += again.Ask("m" + std::to_string(i)) == 2;
+  again.Advance(seconds(10));
+  for (int i = 0; i < 40; ++i) there += again.Submit("m" + std::to_string(i)) == 2;
   EXPECT_EQ(there, 1);
 }
 
@@ -325,32 +325,32 @@
 TEST(Weights, ARequestAtOneRouterOfHundredsMovesFewKeys) {
   Driver d(AsideSettings(300)), idle(AsideSettings(300));
   for (Driver* at : {&d, &idle}) {
-    at->Servers(24);
+    at->SetServers(24);
     for (int i = 0; i < 100; ++i) {
       at->Serve("k" + std::to_string(i % 20), milliseconds(40));
-      at->Pass(milliseconds(400));
+      at->Advance(milliseconds(400));
     }
   }
   int there = 0, moved = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string key = i % 2 ? "new" + std::to_string(i) : "k" + std::to_string(i % 20);
     const int home = idle.Serve(key, milliseconds(40));
-    idle.Pass(milliseconds(1000));
+    idle.Advance(milliseconds(1000));
     // One is out at that very server.
     int out = -1;
-    for (int n = 0; n < 60 && out != home; ++n) out = d.Ask("out" + std::to_string(n * 31 + i), 0);
-    d.Pass(milliseconds(40));
+    for (int n = 0; n < 60 && out != home; ++n) out = d.Submit("out" + std::to_string(n * 31 + i), 0);
+    d.Advance(milliseconds(40));
     if (out != home) {
       d.AnswerAll();
-      d.Pass(milliseconds(1000));
+      d.Advance(milliseconds(1000));
       continue;
     }
-    for (std::size_t s = 0; s + 1 < d.sends.size(); ++s) d.Ends(d.sends[s].send.id, 0, Result::kOk);
-    d.Pass(milliseconds(60));
-    moved += d.Ask(key) != home;
+    for (std::size_t s = 0; s + 1 < d.sends.size(); ++s) d.EndAttempt(d.sends[s].send.id, 0, Result::kOk);
+    d.Advance(milliseconds(60));
+    moved += d.Submit(key) != home;
     ++there;
     d.AnswerAll();
-    d.Pass(milliseconds(1000));
+    d.Advance(milliseconds(1000));
     d.sends.clear();
   }
   EXPECT_GT(there, 200);
@@ -361,18 +361,18 @@
 // at once to come later, and all is let in again soon after the servers answer.
 TEST(Throttle, WhatIsAskedFarBeyondWhatIsServedIsRefusedAtOnceAndLetInAgainSoon) {
   Driver d(AsideSettings(2));
-  d.Servers(4);
+  d.SetServers(4);
   const auto ask = [&](Duration length, int answer_one_in) {
     std::pair<int, int> refused_of{0, 0};
     const Time until = d.now + length;
     for (int i = 0; d.now < until; ++i) {
       const std::size_t before = d.refused.size();
-      const int to = d.Ask("k" + std::to_string(i % 50));
+      const int to = d.Submit("k" + std::to_string(i % 50));
       refused_of.first += to < 0 && d.refused.size() > before;
       ++refused_of.second;
       const RequestId id = d.last_id;
-      d.Pass(milliseconds(5));
-      if (to >= 0 && i % answer_one_in == 0) d.Ends(id, 0, Result::kOk);
+      d.Advance(milliseconds(5));
+      if (to >= 0 && i % answer_one_in == 0) d.EndAttempt(id, 0, Result::kOk);
     }
     return static_cast<double>(refused_of.first) / refused_of.second;
   };
@@ -387,11 +387,11 @@
 // lull, or while warm servers drown) is no measure of what one bears.
 TEST(Throttle, AColdServersBudgetRestsOnWhatWarmOnesWereSeenToBear) {
   Driver d(AsideSettings(2));
-  d.Servers(4);
+  d.SetServers(4);
   std::map<int, Duration> takes;
   for (int s = 0; s < 10; ++s) takes[s] = milliseconds(20);
   Sent(d, 200, seconds(20), takes);
-  d.Pass(seconds(8));
+  d.Advance(seconds(8));
   d.List(ListKind::kChanges, {Up(9, d.now - seconds(10))});
   const auto sent = Sent(d, 1 << 20, milliseconds(1500), takes);  // keys that nobody holds
   EXPECT_GT(sent.contains(9) ? sent.at(9) : 0, 42);
