--- a/src/recovery/list_calls.h
+++ b/src/recovery/list_calls.h
@@ -32,46 +32,52 @@
 
   explicit ListCalls(const Settings& s)
       : agent_(s.list_agent),
-        spread_(std::min<Duration>({kEach * std::max(1, s.balancers), s.rules.ask_within / 3, kMost})),
-        wait_(std::max(kFirst, spread_)),
-        haste_(std::clamp(kEach / 2 * std::max(1, s.balancers), std::min(kLeast, wait_), wait_)),
-        agent_wait_(std::clamp<Duration>(s.rules.drain_grace / 4, kAgentLeast, kAgentMost)) {}
+        spread_(std::min<Duration>(
+            {kSpreadPerRouter * std::max(1, s.balancers), s.rules.ask_within / 3, kMaxWait})),
+        max_wait_(std::max(kMinMaxWait, spread_)),
+        first_wait_(std::clamp(kSpreadPerRouter / 2 * std::max(1, s.balancers),
+                               std::min(kSmallFleetWait, max_wait_), max_wait_)),
+        agent_wait_(std::clamp<Duration>(s.rules.drain_grace / 4, kMinAgentWait, kMaxAgentWait)) {}
 
   // Until the first call of this process. `any`: evenly drawn from 0 to 1, as everywhere here.
-  Duration First(double any) const { return agent_ ? Duration(0) : FromSeconds(Seconds(spread_) * any); }
+  Duration First(double random) const {
+    return agent_ ? Duration(0) : FromSeconds(Seconds(spread_) * random);
+  }
   // Over how long the first calls of a fleet that begins together are spread.
   Duration spread() const { return spread_; }
   // Discovery has said its word: the list is true as of now.
   void Told(Time now) {
-    known_ = now;
-    refused_ = 0;
+    last_confirmed_ = now;
+    failures_ = 0;
   }
   // It is another discovery from now on, which has not said anything yet.
-  void Forget() { known_ = Time(-kTold); }
+  void Forget() { last_confirmed_ = Time(-kTold); }
   // Until the next call after one that came to nothing.
-  Duration Again(Time now, double any) {
-    const double part = 0.5 + 0.5 * any;
+  Duration Again(Time now, double random) {
+    const double part = 0.5 + 0.5 * random;
     if (agent_) return FromSeconds(Seconds(agent_wait_) * part);
-    const double growth = std::pow(kGrowth, std::min(refused_++, kMostGrowths));
-    const Duration left = std::max(Duration(0), known_ + kTold - now);
-    const Duration wait = std::min(FromSeconds(Seconds(haste_) * growth), wait_);
+    const double growth = std::pow(kGrowth, std::min(failures_++, kMaxGrowths));
+    const Duration left = std::max(Duration(0), last_confirmed_ + kTold - now);
+    const Duration wait = std::min(FromSeconds(Seconds(first_wait_) * growth), max_wait_);
     return FromSeconds(Seconds(std::max(wait, left * 2 / 5)) * part);
   }
 
  private:
-  static constexpr Duration kMost = std::chrono::seconds(2);          // between two calls
-  static constexpr Duration kFirst = std::chrono::seconds(1);         // a few routers wait so long, too
-  static constexpr Duration kEach = std::chrono::milliseconds(50);    // for each router of the fleet
-  static constexpr Duration kLeast = std::chrono::milliseconds(300);  // between two calls, small fleets
+  static constexpr Duration kMaxWait = std::chrono::seconds(2);     // between two calls
+  static constexpr Duration kMinMaxWait = std::chrono::seconds(1);  // a few routers wait so long, too
+  static constexpr Duration kSpreadPerRouter =
+      std::chrono::milliseconds(50);  // for each router of the fleet
+  static constexpr Duration kSmallFleetWait =
+      std::chrono::milliseconds(300);     // between two calls, small fleets
   static constexpr double kGrowth = 1.1;  // of the wait with each refusal in a row
-  static constexpr int kMostGrowths = 8;
-  static constexpr Duration kAgentLeast = std::chrono::milliseconds(25);
-  static constexpr Duration kAgentMost = std::chrono::milliseconds(250);
+  static constexpr int kMaxGrowths = 8;
+  static constexpr Duration kMinAgentWait = std::chrono::milliseconds(25);
+  static constexpr Duration kMaxAgentWait = std::chrono::milliseconds(250);
 
   bool agent_;
-  Duration spread_, wait_, haste_, agent_wait_;
-  int refused_ = 0;     // calls since discovery's last word
-  Time known_{-kTold};  // when the list was last known to be true
+  Duration spread_, max_wait_, first_wait_, agent_wait_;
+  int failures_ = 0;             // calls since discovery's last word
+  Time last_confirmed_{-kTold};  // when the list was last known to be true
 };
 
 }  // namespace beechledge
--- a/src/recovery/startup.h
+++ b/src/recovery/startup.h
@@ -22,20 +22,20 @@
   void Listed(ListKind kind, bool old) {
     if (kind == ListKind::kRemembered && phase_ != Phase::kConfirmed) {
       phase_ = Phase::kRemembered;
-      old_ = old;
+      list_is_old_ = old;
     } else if (kind == ListKind::kAll || kind == ListKind::kChanges) {
       phase_ = Phase::kConfirmed;
     }
   }
   Phase phase() const { return phase_; }
   // May another attempt go to a server that has so many out and has, or has not, answered in this process?
-  bool MayTry(int out, bool answered) const {
-    return phase_ != Phase::kRemembered || !old_ || answered || out == 0;
+  bool MayTry(int outstanding, bool answered) const {
+    return phase_ != Phase::kRemembered || !list_is_old_ || answered || outstanding == 0;
   }
 
  private:
   Phase phase_ = Phase::kListening;
-  bool old_ = false;
+  bool list_is_old_ = false;
 };
 
 }  // namespace beechledge
