--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -26,7 +26,7 @@
   std::string what;
 };
 
-[[noreturn]] void Want(std::string_view event, std::string_view field, std::string_view kind) {
+[[noreturn]] void ThrowExpected(std::string_view event, std::string_view field, std::string_view kind) {
   throw Expected{std::string(event) + " with " + std::string(field) + " as " + std::string(kind)};
 }
 
@@ -81,13 +81,13 @@
     const auto e = Find(o, name);
     if (!e) return std::nullopt;
     const std::optional<T> value = as(*e);
-    if (!value) Want(event, name, kind);
+    if (!value) ThrowExpected(event, name, kind);
     return value;
   }
   template <class T, class F>
   T Required(std::string_view name, std::string_view kind, F as) const {
     const auto value = Optional<T>(name, kind, as);
-    if (!value) Want(event, name, kind);
+    if (!value) ThrowExpected(event, name, kind);
     return *value;
   }
   std::int64_t Int(std::string_view name) const {
@@ -111,7 +111,7 @@
   std::uint64_t Token(std::string_view name) const {
     const auto e = Find(o, name);
     std::uint64_t u = 0;
-    if (!e || e->get(u) != simdjson::SUCCESS) Want(event, name, "a whole number");
+    if (!e || e->get(u) != simdjson::SUCCESS) ThrowExpected(event, name, "a whole number");
     return u;
   }
 };
@@ -143,7 +143,7 @@
 
 Result RequiredResult(const Fields& f) {
   const auto result = ReadResult(f.Int("reason"));
-  if (!result) Want(f.event, "reason", "a known outcome");
+  if (!result) ThrowExpected(f.event, "reason", "a known outcome");
   return *result;
 }
 
@@ -151,7 +151,7 @@
   const auto e = Find(f.o, "metrics");
   if (!e) return std::nullopt;
   dom::object o;
-  if (e->get(o) != simdjson::SUCCESS) Want(f.event, "metrics", "an object");
+  if (e->get(o) != simdjson::SUCCESS) ThrowExpected(f.event, "metrics", "an object");
   LoadReport r;
   const auto get = [&](std::string_view name, std::optional<double>& to) {
     if (const auto v = Find(o, name)) to = AsDouble(*v);
@@ -204,17 +204,17 @@
 
 // ---- One instance: its module and the maps between the wire's ids and the module's ----
 
-struct HeldRequest {
+struct OpenRequest {
   std::string id;
-  int out = 0;         // attempts without their outcome
-  bool ended = false;  // the final answer is known
+  int outstanding = 0;  // attempts without their outcome
+  bool ended = false;   // the final answer is known
 };
 
 class Instance {
  public:
   Instance(const Settings& settings, std::uint64_t seed) : balancer_(settings, seed) {}
 
-  std::size_t held() const { return requests_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
 
   void Handle(std::int64_t who, Time now, std::string_view name, const Fields& f, std::string& reply) {
     actions_.clear();
@@ -224,37 +224,37 @@
     try {
       balancer_.Handle(now, *event, actions_);
     } catch (const std::exception& e) {
-      Open(reply, "EXCEPTION", who);
+      BeginMessage(reply, "EXCEPTION", who);
       AppendField(reply, "message", e.what());
       reply += "}}\n";
       return;
     }
     for (const Action& action : actions_) std::visit([&](const auto& a) { Write(who, a, reply); }, action);
-    Release(ended_by_event);
+    EraseIfDone(ended_by_event);
   }
 
  private:
-  std::optional<Event> Read(std::string_view name, const Fields& f, RequestId& touched) {
+  std::optional<Event> Read(std::string_view name, const Fields& f, RequestId& request_id) {
     if (name == "ASK") return ReadAsk(f);
-    if (name == "RESULT") return ReadOutcome(f, touched);
+    if (name == "RESULT") return ReadOutcome(f, request_id);
     if (name == "FIRED") return TimerFired{f.Token("ref")};
     if (name == "BACKENDS_CHANGED") return ReadList(f);
     if (name == "CLIENT_GONE") {
-      const auto it = by_text_.find(std::string(f.Text("req")));
-      if (it == by_text_.end()) return std::nullopt;
-      touched = it->second;
-      requests_.at(touched).ended = true;
-      return ClientGone{touched};
+      const auto it = ids_by_text_.find(std::string(f.Text("req")));
+      if (it == ids_by_text_.end()) return std::nullopt;
+      request_id = it->second;
+      requests_.at(request_id).ended = true;
+      return ClientGone{request_id};
     }
     if (name == "HEAD_RECEIVED") {
-      const auto it = by_text_.find(std::string(f.Text("req")));
-      const FirstByte first{it == by_text_.end() ? 0 : it->second, Server(f.Text("node")),
+      const auto it = ids_by_text_.find(std::string(f.Text("req")));
+      const FirstByte first{it == ids_by_text_.end() ? 0 : it->second, ServerIdOf(f.Text("node")),
                             static_cast<int>(f.Int("seq_no")), Duration(f.Int("duration"))};
       if (first.id == 0) return std::nullopt;
       return first;
     }
     if (name == "PONG") {
-      return ProbeResult{Server(f.Text("node")), RequiredResult(f), Duration(f.Int("duration")),
+      return ProbeResult{ServerIdOf(f.Text("node")), RequiredResult(f), Duration(f.Int("duration")),
                          ReadReport(f)};
     }
     return PeerMessage{static_cast<int>(f.Int("src_peer")), std::string(f.Text("raw"))};
@@ -271,17 +271,17 @@
     r.size_hint = f.MaybeDouble("bytes_hint");
     r.repeat = f.Flag("repeat");
     r.write = f.Flag("update");
-    if (by_text_.contains(text)) return std::nullopt;  // never repeated on this wire
+    if (ids_by_text_.contains(text)) return std::nullopt;  // never repeated on this wire
     r.id = ++last_id_;
-    by_text_.emplace(text, r.id);
-    requests_.emplace(r.id, HeldRequest{text});
+    ids_by_text_.emplace(text, r.id);
+    requests_.emplace(r.id, OpenRequest{text});
     return r;
   }
 
-  std::optional<Event> ReadOutcome(const Fields& f, RequestId& touched) {
+  std::optional<Event> ReadOutcome(const Fields& f, RequestId& request_id) {
     Outcome o;
     const std::string text(f.Text("req"));
-    o.server = Server(f.Text("node"));
+    o.server = ServerIdOf(f.Text("node"));
     o.complete = f.Flag("complete");
     o.attempt = static_cast<int>(f.Int("seq_no"));
     o.latency = Duration(f.Int("duration"));
@@ -289,12 +289,12 @@
     const std::int64_t note = f.MaybeInt("info").value_or(0);
     o.note = note >= 1 && note <= 3 ? static_cast<Note>(note) : Note::kNone;
     o.report = ReadReport(f);
-    const auto it = by_text_.find(text);
-    if (it == by_text_.end()) return std::nullopt;
-    o.id = touched = it->second;
-    HeldRequest& held = requests_.at(touched);
-    if (held.out > 0) --held.out;
-    if (o.complete) held.ended = true;
+    const auto it = ids_by_text_.find(text);
+    if (it == ids_by_text_.end()) return std::nullopt;
+    o.id = request_id = it->second;
+    OpenRequest& request = requests_.at(request_id);
+    if (request.outstanding > 0) --request.outstanding;
+    if (o.complete) request.ended = true;
     return o;
   }
 
@@ -310,21 +310,21 @@
     else if (how == "refused")
       list.kind = ListKind::kRefused;
     else
-      Want(f.event, "how", "changes, all, remembered or refused");
+      ThrowExpected(f.event, "how", "changes, all, remembered or refused");
     const auto members = Find(f.o, "members");
     if (!members) {
-      if (list.kind != ListKind::kRefused) Want(f.event, "members", "an array");
+      if (list.kind != ListKind::kRefused) ThrowExpected(f.event, "members", "an array");
       return list;
     }
     dom::array entries;
-    if (members->get(entries) != simdjson::SUCCESS) Want(f.event, "members", "an array");
+    if (members->get(entries) != simdjson::SUCCESS) ThrowExpected(f.event, "members", "an array");
     for (dom::element item : entries) {
       dom::object o;
-      if (item.get(o) != simdjson::SUCCESS) Want(f.event, "members", "an array of objects");
+      if (item.get(o) != simdjson::SUCCESS) ThrowExpected(f.event, "members", "an array of objects");
       const Fields m{f.event, o};
       ServerEntry e;
       e.name = m.Text("node");
-      e.id = Server(e.name);
+      e.id = ServerIdOf(e.name);
       e.zone = static_cast<int>(m.MaybeInt("az").value_or(0));
       e.kind = static_cast<int>(m.MaybeInt("family_type").value_or(0));
       e.cell = static_cast<int>(m.MaybeInt("pod").value_or(0));
@@ -336,7 +336,7 @@
       else if (state == "removed")
         e.availability = Availability::kRemoved;
       else
-        Want(f.event, "availability", "up, draining or removed");
+        ThrowExpected(f.event, "availability", "up, draining or removed");
       e.scale = m.MaybeDouble("scale").value_or(1);
       e.started = Time(m.MaybeInt("started_at").value_or(0));
       list.entries.push_back(std::move(e));
@@ -344,95 +344,95 @@
     return list;
   }
 
-  ServerId Server(std::string_view name) {
+  ServerId ServerIdOf(std::string_view name) {
     const auto [it, fresh] = servers_.emplace(std::string(name), static_cast<ServerId>(names_.size()));
     if (fresh) names_.push_back(it->first);
     return it->second;
   }
 
-  void Open(std::string& out, std::string_view name, std::int64_t who) {
+  void BeginMessage(std::string& out, std::string_view name, std::int64_t who) {
     out += "{\"";
     out += name;
     out += "\":{\"who\":";
     out += std::to_string(who);
   }
 
-  void End(RequestId id) {
+  void MarkEnded(RequestId id) {
     const auto it = requests_.find(id);
     if (it != requests_.end()) it->second.ended = true;
-    Release(id);
+    EraseIfDone(id);
   }
 
   // Forgets a request once it has ended and each of its attempts has an outcome.
-  void Release(RequestId id) {
+  void EraseIfDone(RequestId id) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || !it->second.ended || it->second.out > 0) return;
-    by_text_.erase(it->second.id);
+    if (it == requests_.end() || !it->second.ended || it->second.outstanding > 0) return;
+    ids_by_text_.erase(it->second.id);
     requests_.erase(it);
   }
 
   std::string_view Text(RequestId id) const { return requests_.at(id).id; }
 
   void Write(std::int64_t who, const Send& a, std::string& out) {
-    Open(out, "ROUTE", who);
-    HeldRequest& held = requests_.at(a.id);
-    ++held.out;
-    AppendField(out, "req", held.id);
+    BeginMessage(out, "ROUTE", who);
+    OpenRequest& request = requests_.at(a.id);
+    ++request.outstanding;
+    AppendField(out, "req", request.id);
     AppendField(out, "node", names_.at(a.server));
     if (a.timeout.count() > 0) AppendNumber(out, "within", a.timeout.count());
     out += "}}\n";
   }
   void Write(std::int64_t who, const Refuse& a, std::string& out) {
-    Open(out, "SHED", who);
+    BeginMessage(out, "SHED", who);
     AppendField(out, "req", Text(a.id));
     if (a.retry_after.count() > 0) AppendNumber(out, "hold_off", a.retry_after.count());
     out += "}}\n";
-    End(a.id);
+    MarkEnded(a.id);
   }
   void Write(std::int64_t who, const Fail& a, std::string& out) {
-    Open(out, "LOSE", who);
+    BeginMessage(out, "LOSE", who);
     AppendField(out, "req", Text(a.id));
     out += "}}\n";
-    End(a.id);
+    MarkEnded(a.id);
   }
   void Write(std::int64_t who, const Cancel& a, std::string& out) {
-    Open(out, "RECALL", who);
+    BeginMessage(out, "RECALL", who);
     AppendField(out, "req", Text(a.id));
     AppendNumber(out, "seq_no", a.attempt);
     out += "}}\n";
   }
   void Write(std::int64_t who, const SetTimer& a, std::string& out) {
-    Open(out, "REMIND", who);
+    BeginMessage(out, "REMIND", who);
     AppendNumber(out, "ref", a.token);
     AppendNumber(out, "time", a.at.count());
     out += "}}\n";
   }
   void Write(std::int64_t who, const Subscribe& a, std::string& out) {
-    Open(out, "FOLLOW", who);
+    BeginMessage(out, "FOLLOW", who);
     out += a.on ? ",\"on\":true}}\n" : ",\"on\":false}}\n";
   }
   void Write(std::int64_t who, const FetchList&, std::string& out) {
-    Open(out, "RESOLVE", who);
+    BeginMessage(out, "RESOLVE", who);
     out += "}}\n";
   }
   void Write(std::int64_t who, const Probe& a, std::string& out) {
-    Open(out, "CHECK", who);
+    BeginMessage(out, "CHECK", who);
     AppendField(out, "node", names_.at(a.server));
     out += "}}\n";
   }
   void Write(std::int64_t who, const CloseIdle& a, std::string& out) {
-    Open(out, "RELEASE", who);
+    BeginMessage(out, "RELEASE", who);
     AppendField(out, "node", names_.at(a.server));
     out += "}}\n";
   }
   void Write(std::int64_t who, const Tell& a, std::string& out) {
-    Open(out, "BROADCAST_TO", who);
+    BeginMessage(out, "BROADCAST_TO", who);
     AppendNumber(out, "to", a.to);
     AppendField(out, "raw", a.bytes);
     out += "}}\n";
   }
   void Write(std::int64_t who, const Log& a, std::string& out) {
-    Open(out, "REMARK", who);
+    BeginMessage(out, "REMARK", who);
     AppendField(out, "message", a.text);
     out += "}}\n";
   }
@@ -440,8 +440,8 @@
   Balancer balancer_;
   Actions actions_;
   RequestId last_id_ = 0;
-  std::unordered_map<std::string, RequestId> by_text_;
-  std::unordered_map<RequestId, HeldRequest> requests_;
+  std::unordered_map<std::string, RequestId> ids_by_text_;
+  std::unordered_map<RequestId, OpenRequest> requests_;
   std::unordered_map<std::string, ServerId> servers_;
   std::vector<std::string> names_;
 };
@@ -457,20 +457,20 @@
     ++line_;
     if (line.find_first_not_of(" \t\r") == line.npos) return;
     try {
-      Take(line, reply, notes);
+      ParseLine(line, reply, notes);
     } catch (const Expected& e) {
       throw BadInput("line " + std::to_string(line_) + ": expected " + e.what);
     }
   }
 
-  std::size_t held() const {
+  std::size_t open_requests() const {
     std::size_t n = 0;
-    for (const auto& [who, instance] : instances_) n += instance.held();
+    for (const auto& [who, instance] : instances_) n += instance.open_requests();
     return n;
   }
 
  private:
-  void Take(std::string_view line, std::string& reply, std::string& notes) {
+  void ParseLine(std::string_view line, std::string& reply, std::string& notes) {
     dom::element root;
     if (parser_.parse(line.data(), line.size()).get(root) != simdjson::SUCCESS)
       throw Expected{"a JSON value"};
@@ -479,10 +479,10 @@
       throw Expected{"an object with a single key, the message's name"};
     }
     const auto [name, body] = *message.begin();
-    const bool ours = name == "ATTACH" || name == "KILL" || name == "TICK" || name == "EOB" ||
-                      std::find(std::begin(kInstanceEvents), std::end(kInstanceEvents), name) !=
-                          std::end(kInstanceEvents);
-    if (!ours) {
+    const bool known = name == "ATTACH" || name == "KILL" || name == "TICK" || name == "EOB" ||
+                       std::find(std::begin(kInstanceEvents), std::end(kInstanceEvents), name) !=
+                           std::end(kInstanceEvents);
+    if (!known) {
       notes +=
           "line " + std::to_string(line_) + ": passed over an unknown event " + std::string(name) + "\n";
       return;
@@ -503,16 +503,17 @@
       pending_.clear();
       return;
     }
-    TakeEvent(name, f, notes);
+    HandleEvent(name, f, notes);
   }
 
-  void TakeEvent(std::string_view name, const Fields& f, std::string& notes) {
+  void HandleEvent(std::string_view name, const Fields& f, std::string& notes) {
     const std::int64_t who = f.Int("who");
     if (name == "ATTACH") {
       const std::uint64_t seed = f.Token("nonce64");
       const auto options = Find(f.o, "options");
       dom::object settings;
-      if (!options || options->get(settings) != simdjson::SUCCESS) Want(name, "options", "an object");
+      if (!options || options->get(settings) != simdjson::SUCCESS)
+        ThrowExpected(name, "options", "an object");
       instances_.erase(who);
       instances_.try_emplace(who, brasswood::ReadSettings(simdjson::minify(settings)).module, seed);
       return;
@@ -543,6 +544,6 @@
 void Link::Feed(std::string_view line, std::string& reply, std::string& notes) {
   impl_->Feed(line, reply, notes);
 }
-std::size_t Link::held_requests() const { return impl_->held(); }
+std::size_t Link::open_requests() const { return impl_->open_requests(); }
 
 }  // namespace beechledge::benchlink
--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -26,7 +26,7 @@
   void Feed(std::string_view line, std::string& reply, std::string& notes);
 
   // How many request ids are held for all instances; for tests of growth.
-  std::size_t held_requests() const;
+  std::size_t open_requests() const;
 
  private:
   class Impl;
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -62,9 +62,9 @@
 TEST_F(LinkTest, IdsAreForgottenOnceEndedAndAnswered) {
   Attach();
   Batch("2000", {Ask()});
-  EXPECT_EQ(link.held_requests(), 1u);
+  EXPECT_EQ(link.open_requests(), 1u);
   Batch("3000", {Result("10", R"(,"complete":true,"info":1,"metrics":{"eps":0.5,"queue":3})")});
-  EXPECT_EQ(link.held_requests(), 0u);
+  EXPECT_EQ(link.open_requests(), 0u);
   Batch("3500", {std::string(R"({"CLIENT_GONE":{"who":3,"req":")") + kId + "\"}}"});
 }
 
@@ -72,9 +72,9 @@
   Attach();
   Batch("2000", {Ask()});
   Batch("3000", {std::string(R"({"CLIENT_GONE":{"who":3,"req":")") + kId + "\"}}"});
-  EXPECT_EQ(link.held_requests(), 1u);
+  EXPECT_EQ(link.open_requests(), 1u);
   EXPECT_EQ(Batch("4000", {Result("40", R"(,"complete":true)")}), "{\"READY\":{}}\n");
-  EXPECT_EQ(link.held_requests(), 0u);
+  EXPECT_EQ(link.open_requests(), 0u);
 }
 
 TEST_F(LinkTest, EveryOtherEventIsTaken) {
@@ -95,7 +95,7 @@
       Batch("3000", {R"({"KILL":{"who":3}})", R"({"ATTACH":{"who":3,"nonce64":1,"options":{}}})",
                      R"({"BACKENDS_CHANGED":{"who":3,"how":"remembered","gen":1,"members":[]}})"});
   EXPECT_EQ(reply, "{\"READY\":{}}\n");
-  EXPECT_EQ(link.held_requests(), 0u);
+  EXPECT_EQ(link.open_requests(), 0u);
 }
 
 TEST_F(LinkTest, UnknownEventsAndInstancesArePassedOverWithANote) {
