--- a/include/beechledge/balancer.h
+++ b/include/beechledge/balancer.h
@@ -1,13 +1,15 @@
-// The interface of beechledge: what a proxy tells the decision module, and what the module asks of it.
+// The interface of beechledge: the events that a proxy passes to the decision module, and the actions that
+// the module returns.
 //
-// One Balancer belongs to one proxy process. The host feeds it events in order of arrival, each with the
-// time it happened, and carries out the actions that the call appended, in their order. Nothing here knows
-// a wire, a socket or a thread; one Balancer is used from one thread at a time.
+// One Balancer belongs to one proxy process. The host passes it events in order of arrival, each with the
+// time it happened, and executes the actions that the call appended, in order. The module performs no I/O
+// and starts no threads; a Balancer must be used from one thread at a time.
 //
-// The host maps its own ids to the small numbers used here. A RequestId is never reused while the request
-// is open or an attempt for it is out. A ServerId stays with its server until the server is removed and no
-// open request has an attempt at it; then it may be given to another, which the entry's name tells.
-// Misuse (an unknown id, a clock that steps back, a duplicate id) is passed over and breaks nothing else.
+// The host maps its own ids to the small numbers used here. A RequestId is not reused while the request is
+// open or one of its attempts is outstanding. A ServerId stays with its server until the server is removed
+// and no open request has an attempt at it. It may then be assigned to another server; the module detects
+// this by the entry's name. Invalid input (an unknown id, a clock that steps back, a duplicate id) is
+// ignored and affects nothing else.
 #ifndef BEECHLEDGE_BALANCER_H_
 #define BEECHLEDGE_BALANCER_H_
 
@@ -22,22 +24,23 @@
 namespace beechledge {
 
 using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  // since an epoch of the host's choosing; never steps back
+using Time = std::chrono::nanoseconds;  // since an epoch that the host chooses; monotonic
 using RequestId = std::uint64_t;
-using ServerId = std::uint32_t;  // dense: the host counts up from 0, and gives gone servers' again
+using ServerId = std::uint32_t;  // dense: counts up from 0; ids of removed servers are reused
 
-// ---- Settings: stated once, at the start ----
+// ---- Settings: passed once, at construction ----
 
+// Whether a request may be repeated after an attempt that may have run.
 enum class Effect {
-  kSafe,
-  kKeyed,
-  kUnsafe
-};                                        // repeat freely; within group and window; only if it never ran
-enum class Group { kAll, kZone, kCell };  // which servers drop repeats of a keyed request
+  kSafe,   // always
+  kKeyed,  // only within its deduplication group and window
+  kUnsafe  // never
+};
+enum class Group { kAll, kZone, kCell };  // the servers that deduplicate repeats of a keyed request
 
 struct RequestClass {
-  Duration aim{0};       // an answer within this earns the full worth
-  Duration deadline{0};  // what a client waits in all
+  Duration aim{0};       // an answer within this time earns the full worth
+  Duration deadline{0};  // the total time a client waits
   double aim_stretch = 0;
   double worth = 1;
   double late_worth = 0;
@@ -49,10 +52,12 @@
 
 struct Tenant {
   double share = 1;
-  double quota_per_s = 0;  // over all balancers; 0: none stated
+  double quota_per_s = 0;  // summed over all balancers; 0: none
 };
 
-enum class Origin { kThrough, kAside };  // servers fetch what they lack; or the balancer asks the origin
+// How a missing key is fetched: by the cache server itself (read-through), or by the balancer's own request
+// to the origin (cache-aside).
+enum class Origin { kThrough, kAside };
 enum class ReportSource { kNone, kAnswers, kProbe };
 enum class Weights { kNone, kNominal, kRough, kLive };
 
@@ -66,7 +71,7 @@
   double over_share_worth = 1;
   bool worth_by_work = false;
   bool list_must_be_asked = false;
-  // Asked of an agent beside this balancer, which has what is pushed to it: nothing is spared by waiting.
+  // The list comes from a local agent that already has it by push, so its calls need not be spread out.
   bool list_agent = false;
   Origin origin = Origin::kThrough;
   int origin_kind = -1;
@@ -107,13 +112,13 @@
 
 struct ServerEntry {
   ServerId id = 0;
-  std::string name;  // the same text at every balancer; it is hashed, never read
+  std::string name;  // the same at every balancer; only its hash is used
   int zone = 0;
   int kind = 0;
   int cell = 0;
   Availability availability = Availability::kUp;
   double scale = 1;
-  Time started{0};  // 0: long ago
+  Time started{0};  // its last start; 0: long ago, so it is warm
 };
 
 enum class ListKind { kChanges, kAll, kRemembered, kRefused };
@@ -121,7 +126,7 @@
 struct ServerList {
   ListKind kind = ListKind::kAll;
   std::vector<ServerEntry> entries;
-  bool old = false;  // of a remembered one: servers in it may have been replaced since
+  bool old = false;  // for kRemembered: servers in it may have been replaced since
 };
 
 struct NewRequest {
@@ -154,15 +159,15 @@
   kCancelled,
   kMoot,
   kMiss,
-  kSpoilt  // an answer that cannot be read: it has run, and the server is at work
+  kSpoilt  // an unreadable answer: the request has run, and the server is working
 };
-// Does it prove that the attempt had no effect?
+// Whether this result proves that the attempt did not run.
 inline bool NeverRan(Result r) {
   return r == Result::kFull || r == Result::kConnectFailed || r == Result::kMoot || r == Result::kMiss;
 }
 enum class Note { kNone, kHit, kMiss, kMissFetching };
 
-struct LoadReport {  // a value that the site does not report is absent
+struct LoadReport {  // a value that the server does not report is absent
   std::optional<double> inflight, queue, util, latency_ms, qps, eps, x0, x1;
 };
 
@@ -170,14 +175,14 @@
   RequestId id = 0;
   ServerId server = 0;
   int attempt = 0;
-  bool complete = false;  // the request has ended, now or before
+  bool complete = false;  // the request has ended, with this outcome or earlier
   Duration latency{0};
   Result result = Result::kOk;
   Note note = Note::kNone;
   std::optional<LoadReport> report;
 };
 
-struct FirstByte {  // a streamed answer has begun
+struct FirstByte {  // the first byte of a streamed answer has arrived
   RequestId id = 0;
   ServerId server = 0;
   int attempt = 0;
@@ -201,16 +206,16 @@
 
 // ---- Actions: module to host ----
 
-struct Send {  // one attempt; attempts of a request count 0, 1, 2 ... in the order of their sends
+struct Send {  // starts an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of sending
   RequestId id;
   ServerId server;
-  Duration timeout;  // 0: until the client gives up
+  Duration timeout;  // 0: none but the client's own
 };
-struct Refuse {  // final: nothing ran, a new try does no harm
+struct Refuse {  // final: the client may safely retry, since nothing ran or a repeat has no effect
   RequestId id;
   Duration retry_after;
 };
-struct Fail {  // final: no promise
+struct Fail {  // final: an attempt may have run, so a retry may repeat its effect
   RequestId id;
 };
 struct Cancel {
@@ -232,7 +237,7 @@
   ServerId server;
 };
 struct Tell {
-  int to;  // -1: every peer
+  int to;  // -1: all peers
   std::string bytes;
 };
 struct Log {
@@ -254,17 +259,17 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Takes one event that happened at `now` and appends what is to be done about it to `out`.
+  // Processes one event that happened at `now` and appends the resulting actions to `out`.
   void Handle(Time now, const Event& event, Actions& out);
 
-  // What it has learnt of the servers that are up now, at most so many keys; and the same taken up again,
-  // of a list that names them: evidence counts for `faith` of what it did (0 to 1), and only beside what is
-  // known.
-  Kept Keep(Time now, std::size_t most_keys) const;
-  void Recall(Time now, const Kept& kept, double faith);
+  // Keep exports what was learned about the servers that are up, with the holders of at most `max_keys`
+  // keys. Recall restores it, after a list that names the servers: `confidence` (0 to 1) scales the weight
+  // of the restored evidence, which is added to what is already known.
+  Kept Keep(Time now, std::size_t max_keys) const;
+  void Recall(Time now, const Kept& kept, double confidence);
 
-  // For figures, and it decides nothing: the servers listed as up, other than the origin's kind, that the
-  // module avoids now by its own choice (ejected after failures, or in a hall that has fallen silent).
+  // For metrics only: the servers listed as up, other than those of the origin's kind, that the module
+  // avoids now by its own decision (ejected after failures, or in an unresponsive zone).
   std::size_t Avoided() const;
   bool Avoids(ServerId id) const;
 
