--- a/include/beechledge/kept.h
+++ b/include/beechledge/kept.h
@@ -1,5 +1,5 @@
-// What one balancer has learnt and may take up again after a restart: plain numbers, for the host to store.
-// Hints, never facts: no server is up for being named here, and no rule rests on it.
+// What a balancer has learned and may restore after a restart: plain numbers for the host to store. These
+// are hints only: a server named here is not thereby up, and no correctness rule depends on them.
 #ifndef BEECHLEDGE_KEPT_H_
 #define BEECHLEDGE_KEPT_H_
 
@@ -12,19 +12,20 @@
 
 struct Kept {
   struct Key {
-    std::uint64_t key = 0;          // its stable hash
-    std::vector<ServerId> holders;  // thought to hold it
+    std::uint64_t key = 0;          // stable hash of the key
+    std::vector<ServerId> holders;  // servers believed to hold it
   };
   struct Server {
     ServerId id = 0;
-    double looks = 0, log_time = 0;  // recent answers, and the mean logarithm of the seconds they took
-    double log_weight = 0;
-    Duration avoid{0};  // it was avoided, and would be so much longer
+    double looks = 0, log_time = 0;  // number of recent answers; mean logarithm of their latency in seconds
+    double log_weight = 0;           // logarithm of its weight, see sight/paces.h
+    Duration avoid{0};               // remaining ejection time; 0: not ejected
   };
   struct Origin {
-    double limit = 0, base = 0, usual = 0;  // as OriginPace has them; 0: not known
+    // Concurrent fetches allowed; seconds of an unqueued and of a usual fetch. 0: unknown.
+    double limit = 0, base = 0, usual = 0;
   };
-  std::vector<Key> keys;  // the most recently used first
+  std::vector<Key> keys;  // most recently used first
   std::vector<Server> servers;
   Origin origin;
 };
