--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -1,6 +1,12 @@
-// The decision module inside: one class, its parts by concern in the files beside this one. load.cpp: load
-// and cold budgets; health.cpp: whom to avoid; silence.cpp: what to take back; choose.cpp: the LARD choice;
-// gate.cpp: the rules; attempts.cpp: requests; learn.cpp: what answers tell; list.cpp: the server list.
+// The implementation of Balancer: one class, implemented by concern in the files of this folder.
+//   load.cpp      load estimates and the budgets of cold servers
+//   health.cpp    outlier detection, ejection and zone outages
+//   silence.cpp   unresponsive servers and overdue attempts
+//   choose.cpp    server choice (LARD)
+//   gate.cpp      the rules that every send passes, admission, and the end of requests
+//   attempts.cpp  the life of a request: sends, holds, outcomes, timers
+//   learn.cpp     what outcomes teach about servers, keys, the origin and retries
+//   list.cpp      the server list
 #ifndef BEECHLEDGE_CHOICE_CORE_H_
 #define BEECHLEDGE_CHOICE_CORE_H_
 
@@ -31,39 +37,41 @@
  public:
   Core(const Settings& settings, std::uint64_t seed);
   void Handle(Time now, const Event& event, Actions& out);
-  Kept Keep(Time now, std::size_t most_keys) const;
-  void Recall(Time now, const Kept& kept, double faith);
+  Kept Keep(Time now, std::size_t max_keys) const;
+  void Recall(Time now, const Kept& kept, double confidence);
   bool Avoids(ServerId id) const;
   std::size_t Avoided() const;
 
  private:
-  // ---- Load: the smoothed own in-flight, and a share of what the server reports ----
+  // ---- Load: the smoothed in-flight count, and this instance's share of reported load ----
   double RawLoad(const Server& s) const;
   void ApplyReport(Server& s, const LoadReport& report);
   void AdjustInflight(Server& s, int change);
 
-  // ---- Cold servers: a budget of sends from the start on, kept by this instance alone ----
+  // ---- Cold servers: a token bucket for each, without coordination between instances ----
   bool IsCold(const Server& s) const {
     return s.started > Time(0) && now_ - s.started < settings_.rules.ramp;
   }
   double SampleRate() const;
-  // What a warm one is seen to bear. Guards against cold servers left idle just as warm ones drown: those
-  // then answer few, and a budget in proportion to that would fall with them.
+  // The rate that a warm server has been seen to sustain: the higher of the current rate and its recent
+  // average. Overloaded warm servers answer few requests; with the current rate alone the budgets of cold
+  // servers would fall with it and leave them idle just when they are needed.
   double SustainedRate() const {
     return std::max(SampleRate(), sustained_answers_.Read(now_, kSustainedTau, SampleRate()));
   }
   double RampFraction(const Server& s) const;
-  // What a cold server may be sent, of what a warm one is.
+  // The rate that a cold server may be sent, relative to that of a warm one.
   double ColdBudget(const Server& s) const {
     return kColdMargin * settings_.rules.fall_multiple * RampFraction(s);
   }
   void RefillColdTokens(Server& s) const;
   bool HasColdToken(Server& s) const;
 
-  // ---- Health: outcomes against those of the peers ----
-  void RecordHealth(Server& s, bool failed, bool hard, bool lost_in_transit = false);
+  // ---- Health: a server's outcomes compared with those of its peers ----
+  void RecordHealth(Server& s, bool failed, bool connect_failed, bool lost_in_transit = false);
   void Eject(Server& s);
-  // The least patience that an aim leaves. (A fixed time was longer than the whole aim where all is quick.)
+  // The minimum time to wait for an answer. It scales with the aim: a fixed time exceeded the whole aim of
+  // fast classes.
   static Duration MinPatience(Duration aim) {
     return aim > Duration(0) ? FromSeconds(kMinPatienceShare * Seconds(aim)) : kMinPatienceNoAim;
   }
@@ -73,7 +81,7 @@
   void CancelOverdue();
   Time LatestUsefulTime(const Request& r) const;
 
-  // ---- Halls: a whole one that falls silent is told from a server in trouble ----
+  // ---- Zones: the outage of a whole zone is distinguished from failures of single servers ----
   bool ZoneDown(const Server& s) const { return !IsOrigin(s) && zones_.Down(s.zone); }
   void RecordZoneResult(Server& s, bool answered);
   bool Healthy(const Server& s) const;
@@ -92,12 +100,12 @@
     if (!IsOrigin(s)) own_zone_share_.Learn(now_, s.zone == settings_.zone, took);
   }
   static double RendezvousRank(std::uint64_t key, const Server& s);
-  int RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool sampled) const;
+  int RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool own_zone) const;
   double EvidenceWeightedLoad(const Server& s, double load) const;
-  int Choose(const Request& r, bool spare_ejected);
+  int Choose(const Request& r, bool allow_ejected);
   void AddHolder(KeyTable::Entry& entry, ServerId id);
 
-  // ---- The gate: every send passes here, and each of the rules is kept here ----
+  // ---- The gate: every send passes here, and all rules are enforced here ----
   const RequestClass& ClassOf(const Request& r) const;
   bool Allowed(const Request& r, ServerId id) const;
   bool TrySend(Request& r, ServerId id, bool fetch);
@@ -149,14 +157,14 @@
   Actions* out_ = nullptr;
   std::vector<Server> servers_;        // by ServerId
   std::vector<ServerId> up_servers_;   // those listed as up
-  std::vector<double> loads_, ranks_;  // scratch of Choose; an order counts where a load is set
+  std::vector<double> loads_, ranks_;  // scratch of Choose; a rank is valid where the load is not negative
   ZoneHealth zones_;
   Duration longest_aim_{0};
-  double mean_worth_ = 0;  // of the reads asked lately; 0: none yet
+  double mean_worth_ = 0;  // of recent reads; 0: none yet
   int warm_servers_ = 1;
   std::size_t origin_count_ = 0;
   double fleet_failure_share_ = 0;
-  bool holder_busy_ = false;  // of the last choice: a holder stood at L_idle or above
+  bool holder_busy_ = false;  // in the last choice a holder's load was L_idle or more
   ServerLatencies latencies_;
   KeyTable key_table_;
   std::unordered_map<RequestId, Request> requests_;
@@ -164,12 +172,14 @@
   std::unordered_map<std::uint64_t, std::pair<TimerKind, RequestId>> timers_;
   std::uint64_t last_token_ = 0;
   AnswerTimes answer_times_;
-  double typical_seconds_ = 0.05;  // seconds of a usual answer
+  double typical_seconds_ = 0.05;  // smoothed latency of answers
   double retry_tokens_ = kRetryBurst;
   OwnZoneShare own_zone_share_;
-  double retry_success_share_ = 0.9;  // share of overdue attempts whose next one was answered in time
+  double retry_success_share_ =
+      0.9;  // share of cancelled overdue attempts whose retry was answered in time
   Admission admission_;
-  Smoothed sustained_answers_, answers_;  // answers, decaying: over kRateTau the rate
+  Smoothed sustained_answers_;  // average of SampleRate over kSustainedTau
+  Smoothed answers_;            // decaying count of answers; divided by kRateTau it is a rate
   OriginLimiter origin_limiter_;
   Startup startup_;
   ListCalls list_calls_;
