--- a/src/choice/records.h
+++ b/src/choice/records.h
@@ -1,4 +1,4 @@
-// What the module keeps of servers, halls and requests.
+// The module's records of servers, attempts and requests.
 #ifndef BEECHLEDGE_CHOICE_RECORDS_H_
 #define BEECHLEDGE_CHOICE_RECORDS_H_
 
@@ -11,47 +11,47 @@
 namespace beechledge::choice {
 
 struct Server {
-  bool known = false;   // has been listed, under this name
-  bool listed = false;  // in the list now, draining or not
+  bool known = false;   // has been listed under this name
+  bool listed = false;  // is in the current list, draining or not
   std::uint64_t hash = 0;
   int zone = 0, kind = 0, cell = 0;
   Availability availability = Availability::kRemoved;
-  Time started{0}, listed_start{0};  // its last start; as the list has it, be it in the future
-  std::uint32_t incarnation = 0;     // counts restarts: what it held before is gone
+  // Its last start, never in the future; and the start that the list states, which may be in the future.
+  Time started{0}, listed_start{0};
+  std::uint32_t incarnation = 0;  // counts restarts: what an earlier incarnation held is gone
 
   int inflight = 0;
-  Time last_activity{0};  // when it last answered anything, or was given work while it had none
-  Time last_answer{-1};   // when it last answered anything
-  Smoothed load;          // of own in-flight
+  Time last_activity{0};  // its last answer, or a send to it while it was idle
+  Time last_answer{-1};   // negative: none yet
+  Smoothed load;          // smoothed in-flight count of this instance
   LoadReport report;
   Time report_at{-1};
 
-  Smoothed sends;  // decaying over kRateTau: how much evidence its load is
+  Smoothed sends;  // decaying count over kRateTau: the evidence behind its load
   double failure_share = 0;
   int failure_streak = 0;
   int ejections = 0;
   Time ejected_until{0};
   bool ejected = false;
-  int trial_attempts = 0;  // half-open: attempts out on trial
+  int trial_attempts = 0;  // half-open: outstanding trial attempts
 
   double cold_tokens = 0;
   Time cold_at{0};
-  double expected_share =
-      1;  // scratch of Choose: what it is to carry, 1 for a warm server of mean capacity
-  std::uint32_t counted_outage = 0;  // the spell of its hall's silence that it has been counted in
-  Time close_idle_until{0};          // it refused a connection: idle ones are given back
+  double expected_share = 1;         // scratch of Choose: its share of the load; 1: a warm average server
+  std::uint32_t counted_outage = 0;  // the outage of its zone that its failure was last counted in
+  Time close_idle_until{0};          // it refused a connection: idle connections are closed until then
 };
 
 struct Attempt {
   ServerId server;
   Time sent;
-  bool fetch = false;  // a miss is likely: the origin will be asked
+  bool fetch = false;  // expected to cause a request to the origin
   bool outstanding = true;
   bool may_have_run = true;
-  bool overdue = false;           // taken back for taking too long
+  bool overdue = false;           // cancelled for taking too long
   std::uint32_t incarnation = 0;  // of its server, when it was sent
-  // It ended by something on its way, a spoilt answer or a broken or silent connection, while its server
-  // was at work for others.
+  // It failed on the network path (malformed answer, broken or unresponsive connection) while its server
+  // was answering other requests.
   bool lost_in_transit = false;
 };
 
@@ -67,19 +67,20 @@
   bool ended = false;
   bool streaming = false;
   bool held = false;
-  bool awaits_fetch = false;  // held for want of room for its fetch
-  bool shed = false;          // turned away from warm servers: only a cold one with room may serve it
-  bool missed = false;        // aside: a server has said that it lacks the key
+  bool awaits_fetch = false;  // held until its fetch is allowed
+  bool shed = false;          // rejected by admission: only a cold server with budget left may serve it
+  bool missed = false;        // cache-aside: a server has answered that it lacks the key
 
   bool MayHaveRun() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
   }
-  // Has this server failed it? Guards against leaving a key's holder, and fetching what it holds, for one
-  // attempt that went astray; a second one counts.
+  // Whether an attempt at this server has failed or is outstanding. One attempt lost in transit does not
+  // count, so that a key's holder is not left, and its content fetched again, for a network error; a second
+  // one counts.
   bool HasTried(ServerId s) const {
-    int lost_in_transit = 0;
+    int lost = 0;
     return std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& a) {
-      return a.server == s && (!a.lost_in_transit || ++lost_in_transit > 1);
+      return a.server == s && (!a.lost_in_transit || ++lost > 1);
     });
   }
 };
