--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -1,8 +1,9 @@
-// Requests from their arrival to their end: sends, waits, outcomes, timers.
+// The life of a request from its arrival to its end: sends, holds, outcomes, timers.
 #include "choice/core.h"
 
 namespace beechledge {
 
+// Sends the request to the best server, or holds it, or ends it.
 void Balancer::Core::Dispatch(Request& r) {
   if (settings_.origin == Origin::kAside && (r.write || r.missed || up_servers_.size() == origin_count_)) {
     if (SendToOrigin(r)) return;
@@ -16,14 +17,15 @@
   Hold(r);
 }
 
-// The origin is scarce. A fetch waits while another of its key is out (single-flight), and while as many
-// are out as the origin is seen to bear: fetches that fail or come late would only keep it from those
-// that matter.
+// The origin's capacity is scarce. A fetch waits while another fetch of its key is in progress
+// (single-flight) and while as many fetches are outstanding as the origin sustains: fetches that fail or
+// come late would only take capacity from useful ones.
 bool Balancer::Core::MayFetch(const KeyTable::Entry* entry) const {
   return origin_limiter_.MayFetch(now_) && (entry == nullptr || now_ >= entry->fetch_until);
 }
 
-// May a request held for its fetch go on: has its key come meanwhile, or is there room?
+// Whether a request that was held for its fetch may be dispatched: a server holds its key by now, or the
+// fetch is allowed.
 bool Balancer::Core::HeldFetchReady(const Request& r) {
   const KeyTable::Entry* entry = key_table_.Find(r.key);
   if (MayFetch(entry)) return true;
@@ -34,8 +36,8 @@
 bool Balancer::Core::SendTo(Request& r, ServerId id) {
   KeyTable::Entry* entry = r.keyed && !r.write ? &key_table_.Touch(r.key, now_) : nullptr;
   const Holder* holder = FindHolder(entry, id, servers_[id]);
-  const bool kept = holder != nullptr && holder->confirmed;
-  const bool fetch = settings_.origin == Origin::kThrough && entry != nullptr && !kept;
+  const bool held = holder != nullptr && holder->confirmed;
+  const bool fetch = settings_.origin == Origin::kThrough && entry != nullptr && !held;
   r.awaits_fetch = fetch && !MayFetch(entry);
   if (r.awaits_fetch) return false;
   if (!TrySend(r, id, fetch)) return false;
@@ -56,7 +58,7 @@
   return false;
 }
 
-// Nothing is ready for it now: wait for a server, as long as its client does.
+// No server can take the request now: holds it until one can, unless another attempt is not allowed anyway.
 void Balancer::Core::Hold(Request& r) {
   if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts ||
       (ClassOf(r).effect != Effect::kSafe && r.MayHaveRun())) {
@@ -72,7 +74,7 @@
 void Balancer::Core::ReleaseHeld() {
   std::vector<RequestId> held;
   held.swap(held_requests_);
-  // The newest first: where not all can be served, these are still worth something.
+  // Newest first: if not all can be served, these are likeliest to still be in time.
   for (auto id = held.rbegin(); id != held.rend(); ++id) {
     const auto it = requests_.find(*id);
     if (it == requests_.end()) continue;
@@ -98,7 +100,7 @@
 
 void Balancer::Core::HandleEvent(const NewRequest& e) {
   const auto [it, fresh] = requests_.try_emplace(e.id);
-  if (!fresh) return;  // a duplicate id: the host's mistake
+  if (!fresh) return;  // duplicate id: an error of the host, ignored
   Request& r = it->second;
   r.id = e.id;
   r.request_class = e.request_class;
@@ -147,9 +149,10 @@
   --r.outstanding;
   AdjustInflight(s, -1);
   if (s.trial_attempts > 0) --s.trial_attempts;
-  // A server takes few connections; where it refuses one, an idle one is better given back to the other
-  // balancers, and where it is gone, an idle one leads nowhere. Says nothing of other servers: guards
-  // against one lost server costing a handshake with every attempt at all others, at every balancer.
+  // Servers accept a limited number of connections. If one refuses a connection, idle connections to it are
+  // closed to leave room for other balancers; if it is gone, they are useless. Other servers are not
+  // affected: otherwise one lost server would cost every balancer a handshake with each attempt at any
+  // server.
   if (e.result == Result::kConnectFailed) s.close_idle_until = now_ + kCloseIdleTime;
   if (s.inflight == 0 && now_ < s.close_idle_until) out_->push_back(CloseIdle{e.server});
   if (e.complete) MarkEnded(r);
@@ -164,7 +167,7 @@
   EraseIfDone(it);
 }
 
-// An attempt has ended without ending its request.
+// Called when an attempt has ended without ending its request.
 void Balancer::Core::RetryOrEnd(Request& r, Result result) {
   if (result == Result::kMiss) {
     r.missed = true;
@@ -172,10 +175,10 @@
     return;
   }
   if (r.outstanding > 0) return;  // another attempt may still answer
-  const bool free_to_repeat =
+  const bool exempt_from_budget =
       r.attempts.size() == 1 && (result == Result::kConnectFailed || result == Result::kReset);
-  if (now_ < r.deadline && (free_to_repeat || retry_tokens_ >= 1)) {
-    if (!free_to_repeat) retry_tokens_ -= 1;
+  if (now_ < r.deadline && (exempt_from_budget || retry_tokens_ >= 1)) {
+    if (!exempt_from_budget) retry_tokens_ -= 1;
     Dispatch(r);
     if (r.outstanding > 0 || r.held) return;
   }
