--- a/src/choice/balancer.cpp
+++ b/src/choice/balancer.cpp
@@ -1,4 +1,4 @@
-// The module's entry: settings made sound, events handed on.
+// The module's entry points: validates settings and dispatches events.
 #include "choice/core.h"
 
 namespace beechledge {
@@ -14,14 +14,14 @@
 }
 
 void Balancer::Core::Handle(Time now, const Event& event, Actions& out) {
-  now_ = std::max(now_, now);  // a clock that steps back stands still
+  now_ = std::max(now_, now);  // a clock that steps back is treated as stopped
   if (first_event_ == Time(0)) first_event_ = now_;
   out_ = &out;
   std::visit([this](const auto& e) { HandleEvent(e); }, event);
   out_ = nullptr;
 }
 
-Kept Balancer::Core::Keep(Time now, std::size_t most_keys) const {
+Kept Balancer::Core::Keep(Time now, std::size_t max_keys) const {
   Kept kept;
   for (ServerId id : up_servers_) {
     if (IsOrigin(servers_[id])) continue;
@@ -29,7 +29,7 @@
     if (servers_[id].ejected)
       kept.servers.back().avoid = std::max(Duration(0), servers_[id].ejected_until - now);
   }
-  key_table_.ForEach(most_keys, [&](const KeyTable::Entry& entry) {
+  key_table_.ForEach(max_keys, [&](const KeyTable::Entry& entry) {
     Kept::Key key{entry.key, {}};
     for (const Holder& h : entry.holders) {
       if (servers_[h.server].listed && servers_[h.server].incarnation == h.incarnation)
@@ -40,16 +40,17 @@
   kept.origin = origin_limiter_.Export();
   return kept;
 }
-// Holders are mapped and not confirmed: what a key's place is, not that it is still there.
-void Balancer::Core::Recall(Time now, const Kept& kept, double faith) {
+
+// Restored holders are mapped but not confirmed: the key belongs there, but may no longer be there.
+void Balancer::Core::Recall(Time now, const Kept& kept, double confidence) {
   now_ = std::max(now_, now);
-  faith = std::clamp(faith, 0.0, 1.0);
-  origin_limiter_.Restore(kept.origin, faith);
+  confidence = std::clamp(confidence, 0.0, 1.0);
+  origin_limiter_.Restore(kept.origin, confidence);
   for (const Kept::Server& s : kept.servers) {
     if (s.id >= servers_.size() || !servers_[s.id].listed) continue;
-    latencies_.Restore(s, now_, faith);
+    latencies_.Restore(s, now_, confidence);
     if (s.avoid <= Duration(0)) continue;
-    servers_[s.id].ejected = true;  // half-open after that: one careful try
+    servers_[s.id].ejected = true;  // half-open afterwards: a single trial attempt
     servers_[s.id].ejected_until = now_ + std::min(s.avoid, kEjectMax);
   }
   for (auto key = kept.keys.rbegin(); key != kept.keys.rend(); ++key) {
@@ -78,8 +79,10 @@
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 void Balancer::Handle(Time now, const Event& event, Actions& out) { core_->Handle(now, event, out); }
 std::size_t Balancer::Avoided() const { return core_->Avoided(); }
-Kept Balancer::Keep(Time now, std::size_t most_keys) const { return core_->Keep(now, most_keys); }
-void Balancer::Recall(Time now, const Kept& kept, double faith) { core_->Recall(now, kept, faith); }
+Kept Balancer::Keep(Time now, std::size_t max_keys) const { return core_->Keep(now, max_keys); }
+void Balancer::Recall(Time now, const Kept& kept, double confidence) {
+  core_->Recall(now, kept, confidence);
+}
 bool Balancer::Avoids(ServerId id) const { return core_->Avoids(id); }
 
 }  // namespace beechledge
