--- a/src/choice/gate.cpp
+++ b/src/choice/gate.cpp
@@ -1,24 +1,24 @@
-// The gate: every send passes here, and each of the rules is kept here; the one place that ends requests.
+// The gate: every send passes TrySend, which enforces all rules; also admission and the end of requests.
 #include "choice/core.h"
 
 namespace beechledge {
 
 const RequestClass& Balancer::Core::ClassOf(const Request& r) const {
-  static const RequestClass unknown{};  // unsafe, without worth
+  static const RequestClass unknown{};  // unsafe, no aim
   const auto i = static_cast<std::size_t>(r.request_class);
   return r.request_class >= 0 && i < settings_.classes.size() ? settings_.classes[i] : unknown;
 }
 
-// May this request go to this server now? (Cold budget apart.)
+// Whether this request may be sent to this server now, apart from the budget of cold servers.
 bool Balancer::Core::Allowed(const Request& r, ServerId id) const {
   const Server& s = servers_[id];
   if (r.ended || r.streaming || now_ >= r.deadline) return false;      // answered, or too late
-  if (!s.listed || s.availability != Availability::kUp) return false;  // drains are kept
+  if (!s.listed || s.availability != Availability::kUp) return false;  // draining or removed
   if (static_cast<int>(r.attempts.size()) >= settings_.allowed.max_attempts) return false;
   if (r.outstanding > 0 && !settings_.allowed.parallel_tries) return false;
   const RequestClass& c = ClassOf(r);
   if (c.effect == Effect::kSafe) return true;
-  for (const Attempt& a : r.attempts) {  // no effect twice
+  for (const Attempt& a : r.attempts) {  // no effect may happen twice
     if (!a.may_have_run) continue;
     if (c.effect == Effect::kUnsafe) return false;
     const Server& first = servers_[a.server];
@@ -51,9 +51,9 @@
   return c.effect == Effect::kKeyed && c.group == Group::kAll;
 }
 
-// Guards against a fleet that answers nobody in time because it is asked more than it can serve: a part of
-// the reads is told at once to come later, those of little worth first and none wholly. Not writes: they
-// are few, and worth more than a try.
+// Whether to reject this read at once because the fleet is overloaded: otherwise requests beyond its
+// capacity would make all answers late. Classes of low worth are rejected first, but none completely.
+// Writes are not rejected: they are few, and worth more than a read.
 bool Balancer::Core::ShouldShed(const Request& r) {
   if (r.write || ClassOf(r).effect != Effect::kSafe) return false;
   admission_.RecordRead(now_);
@@ -61,33 +61,34 @@
   mean_worth_ += (mean_worth_ > 0 ? 0.01 : 1) * (worth - mean_worth_);
   const double share = admission_.AdmittedShare(now_);
   if (share >= 1) return false;
-  const double against = settings_.worth_by_work ? 1 : std::clamp(mean_worth_ / worth, 0.5, 2.0);
-  return Uniform() < 1 - std::pow(share, against);
+  const double exponent = settings_.worth_by_work ? 1 : std::clamp(mean_worth_ / worth, 0.5, 2.0);
+  return Uniform() < 1 - std::pow(share, exponent);
 }
 
-// When a refused client should come back. One whose aim has passed can earn nothing more with this
-// request: its next try had better wait as long as clients will. Else about the time in which what is
-// held now gets its turn, spread a little, lest all come back at once.
+// How long a refused client should wait before it retries. If the aim has passed, the request can earn
+// nothing more, so its retry waits as long as clients accept. Otherwise about the time until the requests
+// held now have been served, with jitter so that clients do not all return at once.
 Duration Balancer::Core::RetryAfter(const Request& r) {
   if (!settings_.allowed.retry_after) return Duration(0);
-  const Duration most = settings_.allowed.max_retry_after;
+  const Duration max_wait = settings_.allowed.max_retry_after;
   const Duration aim = ClassOf(r).aim;
-  if (aim > Duration(0) && now_ - r.arrived >= aim) return most;
-  const double turns = 1 + static_cast<double>(held_requests_.size()), any = Uniform();
-  const double crowd =
-      (1 - admission_.AdmittedShare(now_)) * Seconds(most) / 2;  // grows with what is turned away
-  return std::min(most, FromSeconds(typical_seconds_ * turns * (0.8 + 0.4 * any) + crowd * (0.5 + any)));
+  if (aim > Duration(0) && now_ - r.arrived >= aim) return max_wait;
+  const double turns = 1 + static_cast<double>(held_requests_.size()), random = Uniform();
+  // Grows with the share of reads that is rejected.
+  const double overload = (1 - admission_.AdmittedShare(now_)) * Seconds(max_wait) / 2;
+  return std::min(max_wait,
+                  FromSeconds(typical_seconds_ * turns * (0.8 + 0.4 * random) + overload * (0.5 + random)));
 }
 
-// How long a request may be held. Guards against the late refusal of what was never tried: from half of
-// its time on that costs its client more than a refusal at once.
+// How long a request may be held. A request that was never sent is refused before half of its time has
+// passed: a later refusal costs its client more than one at once.
 Duration Balancer::Core::MaxHoldTime(const Request& r) const {
   const Duration half = (r.deadline - r.arrived) / 2 - 2 * kHoldRetryInterval;
   const Duration aim = ClassOf(r).aim > Duration(0) ? ClassOf(r).aim : r.deadline - r.arrived;
   return r.attempts.empty() ? std::min(aim, half) : aim;
 }
 
-// The one place that ends requests.
+// Ends a request: refuses it if a retry by the client is safe, else fails it. The only place that does so.
 void Balancer::Core::EndRequest(Request& r) {
   if (r.ended) return;
   MarkEnded(r);
