--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -1,13 +1,13 @@
-// What an outcome tells of its server, its key, the origin and second attempts.
+// What the module learns from an outcome: about its server, its key, the origin and retries.
 #include "choice/core.h"
 
 namespace beechledge {
 
-// What it tells of the key's holders, and of the origin where the origin was asked.
+// Updates the key's holders, and the origin's limit if the attempt may have reached the origin.
 void Balancer::Core::LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e) {
   KeyTable::Entry* entry = r.keyed ? key_table_.Find(r.key) : nullptr;
   if (entry != nullptr && !NeverRan(e.result) && e.result != Result::kCancelled) {
-    // A write voids the kept copies; an error says that the copy is gone and could not be fetched again.
+    // A write invalidates all copies; an error means that the copy is gone and could not be fetched again.
     const bool ok = e.result == Result::kOk, ran = ok || e.result == Result::kSpoilt;
     for (Holder& h : entry->holders) {
       const bool here = h.server == a.server && h.incarnation == a.incarnation;
@@ -25,15 +25,15 @@
   const bool ok = e.result == Result::kOk;
   if (ok) origin_limiter_.RecordServed(took);
   if (e.result == Result::kCancelled || NeverRan(e.result)) return;
-  if (ok && e.note == Note::kHit) return;  // it was kept after all: not a word from the origin
+  if (ok && e.note == Note::kHit) return;  // the server held it after all: the origin was not asked
   const Duration aim = ClassOf(r).aim;
-  const double most = aim > Duration(0) ? Seconds(aim) : INFINITY;
-  origin_limiter_.RecordResult(now_, took, ok, ok || e.result == Result::kSpoilt, most);
+  const double max_seconds = aim > Duration(0) ? Seconds(aim) : INFINITY;
+  origin_limiter_.RecordResult(now_, took, ok, ok || e.result == Result::kSpoilt, max_seconds);
 }
 
-// Does another attempt help what was taken back? One that went astray is answered as quickly as any
-// other; a heavy request, or one in an overloaded tier, is as slow again, and was better left where it
-// was.
+// Learns whether retries of cancelled overdue attempts succeed. A retry of an attempt lost in transit is
+// answered as quickly as any other request; a heavy request, or one to an overloaded fleet, is just as slow
+// again and should not have been cancelled.
 void Balancer::Core::LearnRetryResult(const Request& r, const Attempt& a, Result result) {
   if (&a != &r.attempts.back() || result == Result::kMiss || result == Result::kCancelled) return;
   if (std::none_of(r.attempts.begin(), r.attempts.end() - 1, [](const Attempt& o) { return o.overdue; })) {
@@ -48,9 +48,9 @@
     answer_times_.AddAbandoned(now_ - a.sent);
     if (!ZoneDown(s)) LearnZoneLatency(s, 2 * (now_ - a.sent));
   }
-  // In a lost hall no failure is the server's own: it is to be well again as soon as its hall is.
+  // While the zone is down, failures are not the server's own: it must be usable as soon as its zone is.
   if (ZoneDown(s)) return;
-  // Guards against taking a server out for what its process before the last start failed.
+  // Failures of the process before the last restart must not eject the server.
   if (a.incarnation != s.incarnation) return;
   switch (e.result) {
     case Result::kOk:
@@ -61,8 +61,8 @@
       if (!a.fetch && !r.write && !IsOrigin(s))
         latencies_.RecordAnswer(e.server, now_, now_ - a.sent, IsCold(s));
       typical_seconds_ += 0.02 * (Seconds(now_ - a.sent) - typical_seconds_);
-      // Where looks are few, load shows only how slow an answer was: one too late to be worth anything is
-      // a failure, unless it was late to begin with.
+      // With few samples of a server its load shows only in slow answers: one that is too late to be useful
+      // counts as a failure, unless the request was late already when it was sent.
       RecordHealth(
           s, SampleRate() < 1 && now_ > LatestUsefulTime(r) && now_ - a.sent > answer_times_.Quantile(0.95),
           false);
@@ -82,12 +82,14 @@
     case Result::kConnectFailed:
       RecordHealth(s, true, true);
       break;
-    case Result::kFull:  // overload is not ill health; what was turned away counts as load, or it would
-                         // draw keys
+    // Overload is not a failure. The rejected request counts as load, or the full server would look idle
+    // and attract keys.
+    case Result::kFull:
       s.load.value += typical_seconds_ / Seconds(kLoadTau);
       break;
     case Result::kCancelled:
-      if (a.overdue && !a.lost_in_transit) RecordHealth(s, true, false);  // it has answered nobody since
+      if (a.overdue && !a.lost_in_transit)
+        RecordHealth(s, true, false);  // the server has answered nothing since
       break;
     case Result::kMoot:
       break;
