--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -1,4 +1,4 @@
-// The server list: who is there, since when, and when to ask again.
+// The server list: applies updates and schedules the calls to discovery.
 #include "choice/core.h"
 
 namespace beechledge {
@@ -18,7 +18,7 @@
     for (ServerId id = 0; id < servers_.size(); ++id) {
       if (servers_[id].listed) continue;
       servers_[id].availability = Availability::kRemoved;
-      latencies_.Remove(id);  // else the mean of the sizes would go on counting it
+      latencies_.Remove(id);  // otherwise it would still count in the mean of the sizes
     }
     RebuildUpServers();
     if (e.kind != ListKind::kRemembered) list_calls_.Told(now_);
@@ -30,8 +30,8 @@
   if (entry.id >= servers_.size()) servers_.resize(entry.id + 1);
   Server& s = servers_[entry.id];
   const std::uint64_t hash = StableHash(entry.name);
-  if (s.hash != 0 && s.hash != hash) {                    // another server under the id of one that is gone
-    const std::uint32_t incarnation = s.incarnation + 1;  // the keys that the old one held are not its own
+  if (s.hash != 0 && s.hash != hash) {                    // the id has been reused for another server
+    const std::uint32_t incarnation = s.incarnation + 1;  // it holds none of the keys of its predecessor
     s = {};
     s.incarnation = incarnation;
   }
@@ -49,7 +49,8 @@
   s.known = true;
   if (s.listed_start != entry.started) {
     s.listed_start = entry.started;
-    // Guards against a start that lies ahead, by a clock that is wrong: it would stay cold until then.
+    // A start in the future (a wrong clock) is treated as now; otherwise the server would stay cold until
+    // then.
     s.started = std::min(entry.started, now_);
     ++s.incarnation;
     s.ejected = false;
@@ -57,16 +58,17 @@
     s.failure_streak = 0;
     s.close_idle_until = Time(0);
     RecordZoneResult(s, true);
-    s.cold_tokens = Uniform();  // a random start spreads the first sends of many instances over time
+    s.cold_tokens = Uniform();  // random, so that many instances do not send their first request at once
     s.cold_at = now_;
   }
 }
 
-// Sizes that vary with the load of the moment say nothing that lasts.
+// The stated size, or 0 if it varies with the current load and so says nothing lasting about capacity.
 double Balancer::Core::ListedSize(const ServerEntry& entry) const {
   return settings_.weights == Weights::kNominal || settings_.weights == Weights::kRough ? entry.scale : 0;
 }
 
+// Recomputes the set of servers that are up, and dispatches held requests.
 void Balancer::Core::RebuildUpServers() {
   up_servers_.clear();
   origin_count_ = 0;
