--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -1,4 +1,4 @@
-// How loaded a server is, by the own requests out and what it reports; and what a cold one may be sent.
+// Load estimates from in-flight requests and server reports, and the budgets of cold servers.
 #include "choice/core.h"
 
 namespace beechledge {
@@ -23,18 +23,19 @@
   s.inflight = std::max(0, s.inflight + change);
 }
 
-// How often this instance is answered by one warm server, a second. In a large fleet each balancer meets
-// a server seldom: what it knows of one comes from few looks.
-// What a young instance has not had the time to see is allowed for, from its first second on: it would
-// take itself for one that sends nothing, and cold servers and health with it.
+// How many answers per second this instance gets from one warm server, on average. In a large fleet this is
+// low: each balancer has few samples of each server. The decaying count of an instance that has just
+// started is corrected for its age (from one second on): otherwise it would underestimate its own traffic,
+// and with it the budgets of cold servers and the evidence about health.
 double Balancer::Core::SampleRate() const {
   const Duration age = std::max<Duration>(seconds(1), now_ - first_event_);
-  const double seen = Seconds(kRateTau) * (1 - std::exp(-Seconds(age) / Seconds(kRateTau)));
-  return answers_.Read(now_, kRateTau) / seen / std::max(1, warm_servers_);
+  const double window = Seconds(kRateTau) * (1 - std::exp(-Seconds(age) / Seconds(kRateTau)));
+  return answers_.Read(now_, kRateTau) / window / std::max(1, warm_servers_);
 }
 
-// This instance's share of what a cold server bears is in proportion to what it sends a warm one: summed
-// over all instances that is the load that warm servers are seen to bear, and less than their capacity.
+// The ramp of a cold server, from cold_from to 1. Each instance sends a cold server this share (with a
+// margin) of what it sends a warm one: summed over all instances that is relative to the load that warm
+// servers sustain, which is less than their capacity.
 double Balancer::Core::RampFraction(const Server& s) const {
   const double age = std::clamp(Seconds(now_ - s.started) / Seconds(settings_.rules.ramp), 0.0, 1.0);
   return settings_.rules.cold_from + (1 - settings_.rules.cold_from) * age;
@@ -42,17 +43,17 @@
 
 void Balancer::Core::RefillColdTokens(Server& s) const {
   const double share = RampFraction(s);
-  // Guards against warm servers that drown beside cold ones at ease: what is sent to one in excess shows
-  // as slow answers long before it falls.
+  // A lightly loaded cold server gets a larger margin, so that warm servers are not overloaded beside idle
+  // cold ones. Excess load shows as slow answers long before the server fails.
   const ServerId id = static_cast<ServerId>(&s - servers_.data());
-  const bool own = latencies_.Samples(id, now_) >= kColdSamples;
-  const bool at_ease = own ? latencies_.RelativeLatency(id, now_) < kColdLightLoad
-                           : latencies_.ColdSamples(now_) >= kColdSamples &&
-                                 latencies_.ColdRelativeLatency(now_) < kColdLightLoad;
-  const double margin = at_ease ? kColdMarginLightLoad : kColdMargin;
+  const bool own_samples = latencies_.Samples(id, now_) >= kColdSamples;
+  const bool lightly_loaded = own_samples ? latencies_.RelativeLatency(id, now_) < kColdLightLoad
+                                          : latencies_.ColdSamples(now_) >= kColdSamples &&
+                                                latencies_.ColdRelativeLatency(now_) < kColdLightLoad;
+  const double margin = lightly_loaded ? kColdMarginLightLoad : kColdMargin;
   const double rate = margin * settings_.rules.fall_multiple * share * SustainedRate();
-  const double most = std::max(1.0, rate * Seconds(settings_.rules.fall) / (at_ease ? 4 : 2));
-  s.cold_tokens = std::min(most, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
+  const double capacity = std::max(1.0, rate * Seconds(settings_.rules.fall) / (lightly_loaded ? 4 : 2));
+  s.cold_tokens = std::min(capacity, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
   s.cold_at = now_;
 }
 
@@ -62,12 +63,12 @@
   return s.cold_tokens >= 1;
 }
 
-// One request more or less at one instance of hundreds is chance: a load above the mean counts in
-// proportion to its evidence.
+// At one instance of hundreds a single request more or less is chance: a load above the mean counts in
+// proportion to the evidence behind it.
 double Balancer::Core::EvidenceWeightedLoad(const Server& s, double load) const {
   if (load <= kLIdle) return load;
-  const double looks = s.sends.Read(now_, kRateTau);
-  const double chance = kLoadEvidence / (looks + kLoadEvidence);
+  const double samples = s.sends.Read(now_, kRateTau);
+  const double chance = kLoadEvidence / (samples + kLoadEvidence);
   return kMeanLoad + (load - kMeanLoad) * (1 - chance) - kChanceAllowance * chance;
 }
 
