--- a/src/sight/halls.h
+++ b/src/sight/halls.h
@@ -1,6 +1,6 @@
-// Which halls have fallen silent as a whole: told from a server in trouble by several of its servers
-// failing in a row with no answer between them. Guards against learning server by server, at each balancer,
-// what the first few have told. Free of I/O.
+// Detects the outage of a whole zone: several of its servers fail in a row with no answer in between.
+// Without this, each balancer would have to find out server by server that the zone is gone. Performs no
+// I/O.
 #ifndef BEECHLEDGE_SIGHT_HALLS_H_
 #define BEECHLEDGE_SIGHT_HALLS_H_
 
@@ -15,17 +15,18 @@
 class ZoneHealth {
  public:
   bool Down(int zone) const { return zones_[Index(zone)].failed_servers >= kDownServers; }
-  // Of a lost one: may the next request try it, and one has.
+  // For a zone that is down: whether the next request may be a trial; and one has been sent.
   bool MayTry(int zone, Time now) const { return now >= zones_[Index(zone)].next_trial; }
   void RecordTrial(int zone, Time now) { zones_[Index(zone)].next_trial = now + kTrialInterval; }
-  // Something there answered, or began: it is not lost.
+  // A server of the zone answered, or started: the zone is up.
   void RecordAnswer(int zone) {
     Zone& z = zones_[Index(zone)];
     if (z.failed_servers > 0) ++z.outage;
     z.failed_servers = 0;
   }
-  // A server there failed; `counted` is that server's own, 0 at first, and tells whether it has been
-  // counted in this spell. True: with this the hall is lost.
+  // A server of the zone failed. `counted` belongs to that server (initially 0) and records in which outage
+  // it was last counted, so that each server counts once. Returns true if the zone goes down with this
+  // failure.
   bool RecordFailure(int zone, Time now, std::uint32_t& counted) {
     Zone& z = zones_[Index(zone)];
     if (counted == z.outage) return false;
@@ -36,12 +37,12 @@
   }
 
  private:
-  static constexpr int kMaxZones = 16;    // halls told apart; further ones share the last
-  static constexpr int kDownServers = 4;  // servers of one hall that failed in a row
-  static constexpr Duration kTrialInterval = std::chrono::seconds(1);  // how often a lost hall is tried
+  static constexpr int kMaxZones = 16;    // zones tracked separately; further ones share the last
+  static constexpr int kDownServers = 4;  // servers of a zone that failed in a row
+  static constexpr Duration kTrialInterval = std::chrono::seconds(1);  // between two trials
   struct Zone {
-    int failed_servers = 0;    // servers that have failed since its last answer
-    std::uint32_t outage = 1;  // counts its answers after silence
+    int failed_servers = 0;    // since the last answer from the zone
+    std::uint32_t outage = 1;  // incremented when the zone answers after failures
     Time next_trial{0};
   };
   static std::size_t Index(int zone) {
