--- a/src/sight/home_share.h
+++ b/src/sight/home_share.h
@@ -1,5 +1,6 @@
-// Of the new keys, the share that stays in the own hall: all, unless its answers are slower than the other
-// halls'; then whole keys cross, a few more at a time, until they are not. Free of I/O.
+// The share of new keys that is placed in the own zone: all of them, unless its answers are slower than
+// those of the other zones. Then whole keys are placed in other zones, a few more at each step, until the
+// latencies are alike. Performs no I/O.
 #ifndef BEECHLEDGE_SIGHT_HOME_SHARE_H_
 #define BEECHLEDGE_SIGHT_HOME_SHARE_H_
 
@@ -13,7 +14,7 @@
 class OwnZoneShare {
  public:
   double value() const { return share_; }
-  // A cache server's answer took so long, or was waited for in vain.
+  // A cache server answered after `took`, or `took` stands for an attempt that got no answer.
   void Learn(Time now, bool own_zone, Duration took) {
     double& latency = own_zone ? own_ : other_;
     latency += kLatencyStep * (std::log(std::max(1e-4, Seconds(took))) - latency);
@@ -25,13 +26,14 @@
   }
 
  private:
-  static constexpr double kLatencyStep = 0.04;  // weight of one answer in its hall's pace
-  static constexpr double kCrossRatio = 1.5,
-                          kReturnRatio = 1.2;  // times the other's pace: keys cross, or come home
-  static constexpr double kShareStep = 0.05;   // so large a share of the keys
-  static constexpr Duration kStepInterval = std::chrono::milliseconds(500);  // at a time
+  static constexpr double kLatencyStep = 0.04;  // weight of one answer in its zone's mean
+  // Ratio of the own zone's latency to the others': above the first keys leave, below the second they
+  // return.
+  static constexpr double kCrossRatio = 1.5, kReturnRatio = 1.2;
+  static constexpr double kShareStep = 0.05;  // share of the keys moved in one step
+  static constexpr Duration kStepInterval = std::chrono::milliseconds(500);
   double share_ = 1;
-  double own_ = -2, other_ = -2;  // mean logarithm of the seconds to an answer
+  double own_ = -2, other_ = -2;  // mean logarithm of the latency in seconds
   Time last_step_{0};
 };
 
