--- a/src/sight/key_table.h
+++ b/src/sight/key_table.h
@@ -1,4 +1,4 @@
-// Which servers are thought to hold a key, from the answers this balancer has seen. Free of I/O; bounded.
+// Which servers are believed to hold a key, from the answers this balancer has seen. Performs no I/O.
 #ifndef BEECHLEDGE_SIGHT_KEY_TABLE_H_
 #define BEECHLEDGE_SIGHT_KEY_TABLE_H_
 
@@ -12,25 +12,27 @@
 
 struct Holder {
   ServerId server;
-  std::uint32_t incarnation;
-  bool confirmed = false;  // it has answered for this key
+  std::uint32_t incarnation;  // of the server when it got the key; a restart empties it
+  bool confirmed = false;     // it has answered a request for this key
 };
 
-// The key table: which servers are thought to hold a key. Bounded; the least recently used key goes first.
+// Maps keys to their holders, for at most kMaxKeys keys; the least recently used key is evicted first.
 class KeyTable {
  public:
-  static constexpr std::size_t kMaxKeys = 1 << 16;  // keys remembered
+  static constexpr std::size_t kMaxKeys = 1 << 16;
   struct Entry {
     std::uint64_t key;
     std::vector<Holder> holders;
-    Time last_needed{0};  // when more holders than one were last needed
-    Time fetch_until{
-        -1};  // single-flight: a fetch of this key is out until its outcome, or this at the latest
+    Time last_needed{0};  // when more than one holder was last needed
+    // Single-flight: a fetch of this key is in progress until its outcome, or until this time at the
+    // latest.
+    Time fetch_until{-1};
   };
   Entry* Find(std::uint64_t key) {
     const auto it = index_.find(key);
     return it == index_.end() ? nullptr : &*it->second;
   }
+  // Finds or adds the entry and makes it the most recently used.
   Entry& Touch(std::uint64_t key, Time now) {
     const auto it = index_.find(key);
     if (it != index_.end()) {
@@ -46,7 +48,7 @@
     return by_recency_.front();
   }
 
-  // The most recently used first, at most so many.
+  // Calls `f` for at most `max` entries, most recently used first.
   template <class F>
   void ForEach(std::size_t max, F f) const {
     for (auto it = by_recency_.begin(); it != by_recency_.end() && max > 0; ++it, --max) f(*it);
