--- a/src/sight/paces.cpp
+++ b/src/sight/paces.cpp
@@ -9,20 +9,18 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kGroupPriorSamples = 25;  // looks that the group's pace counts for beside a server's own
-constexpr double kFleetPriorSamples = 6;   // and the fleet's beside a group's
+constexpr double kGroupPriorSamples = 25;  // weight of the group's mean in a server's estimate, in samples
+constexpr double kFleetPriorSamples = 6;   // weight of the fleet's mean in a group's estimate
 constexpr Duration kStepInterval = milliseconds(500);
-constexpr double kMaxWeightStep =
-    0.1;  // of the logarithm of a weight, at one step: that share of its keys moves
-constexpr double kMinWeightChange =
-    0.2;  // a difference less than this is left: chance, and keys moved for nothing
-// A server's weight falls with so high a power of its time. Servers of one core and of four, at 0.7 of what
-// they can do, are in the ratio of two in their answers' times: a power of one would leave the small ones
-// full.
+constexpr double kMaxWeightStep = 0.1;  // of the log weight; about that share of the server's keys moves
+// A smaller difference of the log weight is ignored: it may be chance, and keys would move for nothing.
+constexpr double kMinWeightChange = 0.2;
+// A server's weight falls with this power of its latency. At 0.7 utilization the latencies of servers with
+// one core and with four differ only by a factor of two; a power of one would leave the small ones
+// overloaded.
 constexpr double kLatencyExponent = 4;
-constexpr double kMaxRestoredSamples = 1000;  // looks that are taken up again at most
-constexpr double kMaxSizeRatio =
-    64;  // a stated size counts for at most so many times the mean, or its inverse
+constexpr double kMaxRestoredSamples = 1000;
+constexpr double kMaxSizeRatio = 64;  // bound of a stated size relative to the mean, in both directions
 
 }  // namespace
 
@@ -36,7 +34,8 @@
   return (sum.Read(now, kTau) + prior_samples * prior) / (n + prior_samples);
 }
 
-// Guards against a list that names ever new kinds: past the bound they share one group.
+// Bounded: a list that keeps naming new kinds must not grow the table, so further kinds share the last
+// group.
 std::size_t ServerLatencies::GroupOf(int kind, int zone) {
   const auto it = group_numbers_.find({kind, zone});
   if (it != group_numbers_.end()) return it->second;
@@ -48,7 +47,7 @@
   return number;
 }
 
-// Sizes are comparable with each other only: what counts is each one's logarithm against their mean.
+// Stated sizes are only comparable with each other, so the mean of their logarithms is subtracted.
 double ServerLatencies::RelativeSize(const Server& s) const {
   if (!s.size_listed || size_count_ == 0) return 0;
   const double max_log = std::log(kMaxSizeRatio);
@@ -75,7 +74,7 @@
   s.active = true;
   s.group = GroupOf(kind, zone);
   SetListedSize(s, size);
-  // It begins where its like stand: a small server's successor is small, too.
+  // Starts from its group's mean: the successor of a small server is likely to be small, too.
   s.log_weight = std::clamp(RelativeSize(s) + groups_[s.group].learned_offset, std::log(kMinWeight),
                             std::log(kMaxWeight));
   s.weight = std::exp(s.log_weight);
@@ -145,9 +144,9 @@
 }
 
 void ServerLatencies::Restore(const Kept::Server& kept, Time now, double confidence) {
-  const bool sound =
+  const bool finite =
       std::isfinite(kept.looks) && std::isfinite(kept.log_time) && std::isfinite(kept.log_weight);
-  if (kept.id >= servers_.size() || !servers_[kept.id].active || !sound) return;
+  if (kept.id >= servers_.size() || !servers_[kept.id].active || !finite) return;
   Server& s = servers_[kept.id];
   const double samples = confidence * std::clamp(kept.looks, 0.0, kMaxRestoredSamples);
   const double log_time = std::clamp(kept.log_time, std::log(1e-4), std::log(60.0));
@@ -175,9 +174,9 @@
     Server& s = servers_[id];
     if (!s.active) continue;
     const double relative_size = RelativeSize(s);
-    const double off = TargetLogWeight(id, now) - s.log_weight;
-    if (std::abs(off) >= kMinWeightChange) {
-      s.log_weight += std::clamp(off, -kMaxWeightStep, kMaxWeightStep);
+    const double change = TargetLogWeight(id, now) - s.log_weight;
+    if (std::abs(change) >= kMinWeightChange) {
+      s.log_weight += std::clamp(change, -kMaxWeightStep, kMaxWeightStep);
       s.weight = std::exp(s.log_weight);
       changed = true;
     }
