--- a/src/sight/smoothed.h
+++ b/src/sight/smoothed.h
@@ -1,4 +1,4 @@
-// An exponentially smoothed value that decays with time. Free of I/O; the host hands it the time.
+// An exponentially smoothed value that decays with time. Performs no I/O; the caller passes the time.
 #ifndef BEECHLEDGE_SIGHT_SMOOTHED_H_
 #define BEECHLEDGE_SIGHT_SMOOTHED_H_
 
@@ -18,7 +18,7 @@
   double value = 0;
   Time at{0};
 
-  // What it has come to at `now`, if the level was `level` since the last call of Hold or Add.
+  // The value at `now`, if the input has been `level` since the last call of Advance or Add.
   double Read(Time now, Duration tau, double level = 0) const {
     return level + (value - level) * std::exp(-Seconds(now - at) / Seconds(tau));
   }
@@ -26,6 +26,7 @@
     value = Read(now, tau, level);
     at = now;
   }
+  // Adds an amount to a decaying sum.
   void Add(Time now, Duration tau, double amount) {
     value = Read(now, tau) + amount;
     at = now;
