--- a/src/sight/times.h
+++ b/src/sight/times.h
@@ -1,5 +1,5 @@
-// How long answers take, seen by one balancer: a histogram that fades, with what was given up counted in.
-// Free of I/O; bounded: one array.
+// The distribution of answer times as one balancer sees it: a decaying histogram that accounts for
+// abandoned attempts. Performs no I/O; fixed size.
 #ifndef BEECHLEDGE_SIGHT_TIMES_H_
 #define BEECHLEDGE_SIGHT_TIMES_H_
 
@@ -12,7 +12,7 @@
 
 namespace beechledge {
 
-// Answer times on a logarithmic scale, old ones fading; gives quantiles.
+// A histogram of answer times on a logarithmic scale; old samples decay.
 class AnswerTimes {
  public:
   void Add(Duration d) {
@@ -24,9 +24,9 @@
       unanswered_ *= 0.5;
     }
   }
-  // What was given up after `d` would have been answered later or never: its weight goes to what is known
-  // of those, in proportion (redistribution to the right, as Efron describes for the Kaplan-Meier
-  // estimate).
+  // An attempt abandoned after `d` would have been answered later or never: its weight is distributed over
+  // the later samples in proportion (redistribution to the right, as Efron describes for the Kaplan-Meier
+  // estimator).
   void AddAbandoned(Duration d) {
     const double later = answered_ + unanswered_ - CountUpTo(d);
     if (later < 1) {
@@ -40,7 +40,7 @@
     }
     unanswered_ += unanswered_ / later;
   }
-  // The chance that one which has been out for `out` is answered within `more`.
+  // The probability that an attempt outstanding for `out` is answered within another `more`.
   double ChanceWithin(Duration out, Duration more) const {
     const double later = answered_ + unanswered_ - CountUpTo(out);
     return later <= 0 || more <= Duration(0) ? 0 : (CountUpTo(out + more) - CountUpTo(out)) / later;
@@ -68,8 +68,8 @@
     return sum;
   }
   std::array<double, kBuckets> counts_{};
-  double answered_ = 0;    // answered
-  double unanswered_ = 0;  // of those given up, what no later answer accounts for
+  double answered_ = 0;
+  double unanswered_ = 0;  // weight of abandoned attempts that no later answer accounts for
 };
 
 }  // namespace beechledge
