--- a/src/recovery/startup.h
+++ b/src/recovery/startup.h
@@ -1,12 +1,11 @@
-// The start of a router, as a small state machine: what the list it serves from is worth by now. Free of
-// I/O.
+// The start of a router as a small state machine: how far its server list can be trusted. Performs no I/O.
 //
-//   listening  --a remembered list-->  remembered  --discovery's word-->  confirmed
-//   listening  --discovery's word--->  confirmed
+//   listening  --persisted list-->        remembered  --list from discovery-->  confirmed
+//   listening  --list from discovery-->   confirmed
 //
-// While a remembered list is old, servers in it may have been replaced and their addresses given to
-// others: it says what to try carefully, never that something is up. Each of its servers gets one attempt
-// at a time until it has answered. A fresh one, or a confirmed one, is served from without more ado.
+// If a persisted list is old, its servers may have been replaced and their addresses reused. It then only
+// suggests what to try: each of its servers gets one attempt at a time until it has answered. A recent or
+// confirmed list is used without this limit.
 #ifndef BRASSWOOD_RECOVERY_STARTUP_H_
 #define BRASSWOOD_RECOVERY_STARTUP_H_
 
@@ -18,7 +17,7 @@
  public:
   enum class Phase { kListening, kRemembered, kConfirmed };
 
-  // A list has come; `old`: a remembered one that is older than servers live unchanged.
+  // A list was received. `old`: a persisted list so old that servers may have been replaced since.
   void Listed(ListKind kind, bool old) {
     if (kind == ListKind::kRemembered && phase_ != Phase::kConfirmed) {
       phase_ = Phase::kRemembered;
@@ -28,7 +27,8 @@
     }
   }
   Phase phase() const { return phase_; }
-  // May another attempt go to a server that has so many out and has, or has not, answered in this process?
+  // Whether a server with this many outstanding attempts may get another one. `answered`: it has answered
+  // since this process started.
   bool MayTry(int outstanding, bool answered) const {
     return phase_ != Phase::kRemembered || !list_is_old_ || answered || outstanding == 0;
   }
