--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -21,7 +21,7 @@
 
 namespace dom = simdjson::dom;
 
-// A field that is missing or of the wrong type; Feed adds the line's number.
+// Thrown for a field that is missing or of the wrong type; Feed adds the line number.
 struct Expected {
   std::string what;
 };
@@ -30,7 +30,7 @@
   throw Expected{std::string(event) + " with " + std::string(field) + " as " + std::string(kind)};
 }
 
-// ---- Reading fields. An absent or null optional field is its default; a required one is an error. ----
+// ---- Reading fields. An absent or null field takes its default; if it is required, this is an error. ----
 
 std::optional<dom::element> Find(dom::object o, std::string_view name) {
   dom::element e;
@@ -38,7 +38,7 @@
   return e;
 }
 
-// A whole number, also where it is written with a point; numbers past 64 bits are cut to the range.
+// An integer, also if written with a decimal point; values beyond 64 bits are clamped.
 std::optional<std::int64_t> AsInt(dom::element e) {
   std::int64_t i = 0;
   std::uint64_t u = 0;
@@ -71,7 +71,7 @@
   return std::nullopt;
 }
 
-// One event being read: its name for messages, and its fields.
+// The event being read: its name, for error messages, and its fields.
 struct Fields {
   std::string_view event;
   dom::object o;
@@ -202,12 +202,12 @@
   out += std::to_string(value);
 }
 
-// ---- One instance: its module and the maps between the wire's ids and the module's ----
+// ---- One instance: its decision module, and the maps between the bench's ids and the module's ----
 
 struct OpenRequest {
   std::string id;
-  int outstanding = 0;  // attempts without their outcome
-  bool ended = false;   // the final answer is known
+  int outstanding = 0;  // attempts without an outcome
+  bool ended = false;   // its final answer is known
 };
 
 class Instance {
@@ -271,7 +271,7 @@
     r.size_hint = f.MaybeDouble("bytes_hint");
     r.repeat = f.Flag("repeat");
     r.write = f.Flag("update");
-    if (ids_by_text_.contains(text)) return std::nullopt;  // never repeated on this wire
+    if (ids_by_text_.contains(text)) return std::nullopt;  // request ids are never repeated
     r.id = ++last_id_;
     ids_by_text_.emplace(text, r.id);
     requests_.emplace(r.id, OpenRequest{text});
@@ -363,7 +363,7 @@
     EraseIfDone(id);
   }
 
-  // Forgets a request once it has ended and each of its attempts has an outcome.
+  // Erases a request that has ended once all of its attempts have an outcome.
   void EraseIfDone(RequestId id) {
     const auto it = requests_.find(id);
     if (it == requests_.end() || !it->second.ended || it->second.outstanding > 0) return;
@@ -533,7 +533,7 @@
 
   dom::parser parser_;
   std::map<std::int64_t, Instance> instances_;
-  std::string pending_;  // actions of the batch being read
+  std::string pending_;  // reply lines of the current batch
   std::uint64_t line_ = 0;
   Time now_{0};
   bool in_batch_ = false;
