--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -1,5 +1,5 @@
-// The adapter between the bench's wire and the decision module: it parses, maps ids and writes. It decides
-// nothing.
+// The adapter between the bench's line protocol and the decision module: parses events, maps ids and writes
+// actions. It makes no decisions.
 #ifndef BEECHLEDGE_BENCHLINK_LINK_H_
 #define BEECHLEDGE_BENCHLINK_LINK_H_
 
@@ -10,7 +10,7 @@
 
 namespace beechledge::benchlink {
 
-// Input that the wire does not allow; what() is the one plain message for standard error.
+// Thrown for input that violates the protocol; what() is the message for standard error.
 class BadInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -21,11 +21,11 @@
   Link();
   ~Link();
 
-  // Takes one line without its line break. When it ends a batch, the whole reply is appended to `reply`.
-  // Notes about what was passed over are appended to `notes`, a line each. Throws BadInput.
+  // Processes one line (without its line break). At the end of a batch the whole reply is appended to
+  // `reply`. A line about each ignored event is appended to `notes`. Throws BadInput.
   void Feed(std::string_view line, std::string& reply, std::string& notes);
 
-  // How many request ids are held for all instances; for tests of growth.
+  // Number of requests tracked over all instances; for tests that it does not grow without bound.
   std::size_t open_requests() const;
 
  private:
