--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,5 +1,5 @@
-// beechledge_benchlink: plays the instances of one process on the bench's wire, from standard input to
-// standard output.
+// beechledge_benchlink: runs the balancer instances of one process on the bench's line protocol, reading
+// events from standard input and writing actions to standard output.
 #include <unistd.h>
 
 #include <cerrno>
