--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -1,4 +1,4 @@
-// The smallest host: one balancer, two servers, one request from its arrival to its answer.
+// A minimal host: one balancer, two servers, and one request up to its send.
 #include <beechledge/balancer.h>
 
 #include <cstdio>
