--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -1,4 +1,4 @@
-// The LARD choice, worked from the paper's table of costs.
+// Server choice by LARD (after the paper's cost table), health, fetches, overdue attempts and zones.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,7 +10,7 @@
 
 std::string Key(int i) { return "key-" + std::to_string(i); }
 
-TEST(Lard, AKeyAtRestStaysWithItsServer) {
+TEST(Lard, AKeyUnderLowLoadStaysOnItsServer) {
   Driver d;
   d.SetServers(8);
   const int first = d.Serve("a");
@@ -20,7 +20,7 @@
   }
 }
 
-TEST(Lard, NewKeysLandAlikeAtAllBalancersAndSpread) {
+TEST(Lard, AllBalancersPlaceNewKeysOnTheSameServersAndSpreadThem) {
   Settings other = PlainSettings();
   other.me = 3;
   Driver a, b(other, 99);
@@ -35,7 +35,7 @@
   EXPECT_EQ(used.size(), 8u);
 }
 
-TEST(Lard, AServerThatLeavesMovesOnlyItsOwnKeys) {
+TEST(Lard, RemovingAServerMovesOnlyItsKeys) {
   Driver d;
   d.SetServers(8);
   std::map<int, int> before;
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(Lard, AServerThatJoinsTakesNoMappedKey) {
+TEST(Lard, AddingAServerMovesNoMappedKey) {
   Driver d;
   d.SetServers(8);
   std::map<int, int> before;
@@ -62,22 +62,22 @@
   for (int i = 0; i < 200; ++i) EXPECT_EQ(d.Serve(Key(i), milliseconds(1)), before[i]);
 }
 
-// A holder is left when its load passes L_idle by about two MissCosts less the one for locality it saves:
-// a holder at load L costs L - 30 + 1, an idle stranger 50 + 0.
+// A key gets another holder once its holder's load L makes the holder dearer than an idle server without
+// the key: the holder costs L - 30 + 1, the idle server 50 + 0.
 TEST(Lard, AHotKeySpreadsWhenItsHolderIsLoaded) {
   Driver d;
   d.SetServers(8);
   const int holder = d.Serve("hot");
   std::set<int> used;
   for (int i = 0; i < 200; ++i) {
-    used.insert(d.Submit("hot", 0, seconds(30)));  // never answered: in-flight grows
+    used.insert(d.Submit("hot", 0, seconds(30)));  // never answered, so the in-flight count grows
     d.Advance(milliseconds(50));
   }
   EXPECT_TRUE(used.contains(holder));
   EXPECT_GT(used.size(), 1u);
 }
 
-TEST(Lard, OneOrTwoRequestsCrossNoThreshold) {
+TEST(Lard, OneOrTwoRequestsDoNotCrossTheLoadThreshold) {
   Settings s = PlainSettings();
   s.balancers = 40;
   Driver d(s);
@@ -88,18 +88,18 @@
   EXPECT_EQ(d.Submit("a"), holder);
 }
 
-TEST(Lard, ARestartedServerHoldsNothing) {
+TEST(Lard, ARestartedServerHoldsNoKeys) {
   Driver d;
   d.SetServers(2);
   std::map<int, int> before;
   for (int i = 0; i < 40; ++i) before[i] = d.Serve(Key(i));
-  d.List(ListKind::kChanges, {Up(0, d.now)});  // cold, with next to no budget
+  d.List(ListKind::kChanges, {Up(0, d.now)});  // cold, with almost no budget
   int moved = 0;
   for (int i = 0; i < 40; ++i) moved += before[i] == 0 && d.Serve(Key(i)) != 0;
   EXPECT_GT(moved, 0);
 }
 
-TEST(Health, AServerThatRefusesConnectionsIsLeftAndComesBack) {
+TEST(Health, AServerThatRefusesConnectionsIsEjectedAndReadmitted) {
   Driver d;
   d.SetServers(5);
   std::string key;
@@ -122,7 +122,7 @@
   EXPECT_TRUE(back);
 }
 
-TEST(Health, QuickErrorsDoNotDrawKeys) {
+TEST(Health, FastErrorsDoNotAttractKeys) {
   Driver d;
   d.SetServers(5);
   for (int i = 0; i < 200; ++i) {
@@ -136,9 +136,9 @@
   EXPECT_LT(at_bad, 10);
 }
 
-// Guards the origin: requests for a key that is being fetched wait for that fetch instead of fetching it
-// too.
-TEST(Fetches, OneFetchAKeyAtATime) {
+// Requests for a key that is being fetched wait for that fetch instead of fetching it again, which would
+// load the origin.
+TEST(Fetches, AtMostOneFetchOfAKeyIsInProgress) {
   Driver d;
   d.SetServers(4);
   EXPECT_GE(d.Submit("a"), 0);
@@ -150,8 +150,9 @@
   EXPECT_EQ(d.sends.size(), 3u);
 }
 
-// Guards against the collapse in which fetches beyond the origin's pace all time out and nothing is kept.
-TEST(Fetches, FailingFetchesLowerTheirLimit) {
+// Guards against a collapse in which fetches beyond the origin's capacity all time out and no key is ever
+// cached.
+TEST(Fetches, FailingFetchesLowerTheFetchLimit) {
   Driver d;
   d.SetServers(4);
   for (int round = 0; round < 40; ++round) {
@@ -165,16 +166,16 @@
   EXPECT_LE(d.sends.size() - before, 2u);
 }
 
-// Guards against a yardstick that grows with the queue: an origin that answers ever later, the more is out,
-// must be found strained by what it did when little was out.
-TEST(Fetches, AQueueAtTheOriginDoesNotPassForItsPace) {
+// Guards against a baseline that grows with the queue: an origin whose answers slow down as more fetches
+// are outstanding must be detected as overloaded by comparison with its unqueued latency.
+TEST(Fetches, AGrowingQueueAtTheOriginDoesNotRaiseTheBaseline) {
   Settings s = PlainSettings();
   s.classes[0].aim = seconds(2);
   Driver d(s);
   d.SetServers(4);
   for (int i = 0; i < 300; ++i) d.Serve("calm" + Key(i), milliseconds(20));
   std::size_t next = d.sends.size(), most = 0;
-  // It answers one each 5 ms, the oldest first; twice as many are asked for.
+  // It answers one request every 5 ms, oldest first; twice as many are submitted.
   for (int step = 0; step < 900; ++step) {
     for (int i = 0; i < 2; ++i) d.Submit("more" + Key(step * 2 + i));
     d.Advance(milliseconds(5));
@@ -183,11 +184,11 @@
     const RequestId id = d.sends[next++].send.id;
     d.EndAttempt(id, 0, Result::kOk);
   }
-  EXPECT_LE(most, 30u);  // by a yardstick that follows the queue it is 44 by now, and grows
+  EXPECT_LE(most, 30u);  // with a baseline that follows the queue it is 44 by now, and grows
 }
 
-// Guards against taking a copy that is gone for one that is kept: the repeat must count as a fetch.
-TEST(Fetches, AnErrorUnconfirmsTheHolder) {
+// Guards against treating an evicted copy as present: the retry must count as a fetch.
+TEST(Fetches, AfterAnErrorTheHolderIsNoLongerConfirmed) {
   Driver d;
   d.SetServers(4);
   d.Serve("a");
@@ -198,8 +199,8 @@
   EXPECT_EQ(d.Submit("a"), -1);
 }
 
-// Guards against turned-away requests making a full server look idle.
-TEST(Lard, ATurnedAwayRequestCountsAsLoad) {
+// Guards against rejected requests making a full server look idle.
+TEST(Lard, ARejectedRequestCountsAsLoad) {
   Driver d;
   d.SetServers(6);
   const int holder = d.Serve("hot");
@@ -212,13 +213,13 @@
     d.Advance(milliseconds(10));
     d.AnswerAll();
   }
-  EXPECT_GT(elsewhere, 50);  // none, if what is turned away left no mark
+  EXPECT_GT(elsewhere, 50);  // none, if rejected requests did not count as load
 }
 
-// Guards small connection tables in large fleets: an idle connection is given back to a server that has
-// refused one, and to no other: a hundred balancers that each gave back all of theirs for one lost server
-// opened a connection for nearly every attempt.
-TEST(Connections, IdleOnesAreGivenBackWhereOneWasRefusedAndNowhereElse) {
+// Servers have small connection tables in large fleets, so idle connections to a server that refused one
+// are closed, and no others: a hundred balancers that each closed all of theirs for one lost server opened
+// a connection for nearly every attempt.
+TEST(Connections, IdleConnectionsAreClosedOnlyAtAServerThatRefusedOne) {
   Driver d;
   d.SetServers(3);
   const ServerId other = static_cast<ServerId>(d.Serve("a"));
@@ -235,15 +236,15 @@
   EXPECT_TRUE(d.closed.empty());
 }
 
-// Guards against a server that takes requests and answers none: found by its silence, while its clients
-// still wait, and its harmless requests tried elsewhere.
-TEST(Silence, ABusyServerThatAnswersNothingIsLeftWhileOthersAnswer) {
+// A server that accepts requests but answers none must be found while its clients still wait, and its safe
+// requests retried elsewhere.
+TEST(Unresponsive, ABusyServerThatDoesNotAnswerIsEjectedWhileOthersAnswer) {
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("warm" + std::to_string(i));
   const int silent = d.Submit("k0", 0, seconds(5));
   const RequestId stuck = d.last_id;
-  for (int i = 1, there = 1; i < 100 && there < 3; ++i) {  // it gets more, and answers none of them
+  for (int i = 1, there = 1; i < 100 && there < 3; ++i) {  // it gets more requests, and answers none
     if (d.Submit("k" + std::to_string(i)) == silent) {
       ++there;
     } else {
@@ -256,26 +257,27 @@
     if (at != silent) d.EndAttempt(d.last_id, 0, Result::kOk);
   }
   ASSERT_FALSE(d.cancelled.empty());
-  const auto taken_back = d.cancelled;
-  for (const auto& [id, attempt] : taken_back) d.EndAttempt(id, attempt, Result::kCancelled);
+  const auto cancelled = d.cancelled;
+  for (const auto& [id, attempt] : cancelled) d.EndAttempt(id, attempt, Result::kCancelled);
   EXPECT_EQ(d.attempts[stuck], 2);
-  for (std::size_t n = d.sends.size() - taken_back.size(); n < d.sends.size(); ++n) {
+  for (std::size_t n = d.sends.size() - cancelled.size(); n < d.sends.size(); ++n) {
     EXPECT_NE(static_cast<int>(d.sends[n].send.server), silent);
   }
 }
 
-TEST(Silence, AServerWithOneLongRequestIsNotTakenForSilent) {
+TEST(Unresponsive, AServerWithOneLongRequestIsNotEjected) {
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("warm" + std::to_string(i));
   const int home = d.Submit("long");
   for (int i = 0; i < 30; ++i) d.Serve("later" + std::to_string(i), milliseconds(25));
-  EXPECT_LE(d.cancelled.size(), 1u);  // that request may be tried again
-  EXPECT_EQ(d.Submit("long"), home);  // and the server is not left for it
+  EXPECT_LE(d.cancelled.size(), 1u);  // that request may be retried
+  EXPECT_EQ(d.Submit("long"), home);  // and the server is not avoided for it
 }
 
-// Guards against late refusals of what was never tried, and tells when to come back within what is allowed.
-TEST(Refusals, WhatIsNeverSentIsRefusedBeforeHalfItsTimeWithATimeToComeBack) {
+// Guards against late refusals of requests that were never sent; the retry-after time stays within its
+// limit.
+TEST(Refusals, AnUnsentRequestIsRefusedBeforeHalfItsTimeWithRetryAfter) {
   Settings s = PlainSettings();
   s.allowed.retry_after = true;
   s.allowed.max_retry_after = seconds(2);
@@ -291,15 +293,15 @@
   EXPECT_LE(d.retry_after[0], seconds(2));
 }
 
-// Guards against taking a server for sick, and its keys elsewhere, for answers spoilt on their way.
-TEST(Lard, ASpoiltAnswerIsAskedForAgainWhereTheKeyIs) {
+// Answers malformed in transit must not eject a server or move its keys.
+TEST(Lard, AMalformedAnswerIsRetriedAtTheHolder) {
   Driver d;
   d.SetServers(4);
   const int home = d.Serve("a");
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(d.Submit("a"), home);
     d.EndAttempt(d.last_id, 0, Result::kSpoilt);
-    EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // may run again: it is a read
+    EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // a read may run again
     EXPECT_EQ(d.sends.back().attempt, 1);
     d.EndAttempt(d.last_id, 1, Result::kOk);
     for (int n = 0; n < 3; ++n) EXPECT_EQ(d.Serve("a"), home);
@@ -307,13 +309,14 @@
   d.Submit("a");
   d.EndAttempt(d.last_id, 0, Result::kSpoilt);
   d.EndAttempt(d.last_id, 1, Result::kSpoilt);
-  EXPECT_NE(static_cast<int>(d.sends.back().send.server), home);  // twice is enough
+  EXPECT_NE(static_cast<int>(d.sends.back().send.server),
+            home);  // after two malformed answers another server is tried
   EXPECT_NE(d.Submit("p", 1), -1);
   d.EndAttempt(d.last_id, 0, Result::kSpoilt);
-  EXPECT_EQ(d.failed.back(), d.last_id);  // must never run twice, and has run
+  EXPECT_EQ(d.failed.back(), d.last_id);  // unsafe, and has run
 }
 
-TEST(Lard, AServerUnderTheIdOfOneThatIsGoneInheritsNothing) {
+TEST(Lard, AServerThatReusesAnIdInheritsNoKeys) {
   Driver d;
   d.SetServers(3);
   const int home = d.Serve("a");
@@ -325,25 +328,26 @@
   fresh.name = "another";
   d.List(ListKind::kChanges, {fresh});
   d.Advance(milliseconds(1));
-  EXPECT_EQ(d.Serve("a"), other);  // the new one is not taken for a holder
+  EXPECT_EQ(d.Serve("a"), other);  // the new server is not a holder
 }
 
-// Guards against resets on all servers alike, which once ejected sound ones and moved their keys.
-TEST(Health, TwoResetsInARowTakeNoServerOut) {
+// Guards against resets on all servers alike, which once ejected healthy servers and moved their keys.
+TEST(Health, TwoConsecutiveResetsDoNotEjectAServer) {
   Driver d;
   d.SetServers(4);
   const int home = d.Serve("a");
   d.Submit("a");
   d.EndAttempt(d.last_id, 0, Result::kReset);
-  EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // it has the key, and may be asked again
+  EXPECT_EQ(static_cast<int>(d.sends.back().send.server),
+            home);  // it holds the key, and may be retried once
   d.EndAttempt(d.last_id, 1, Result::kReset);
   EXPECT_NE(static_cast<int>(d.sends.back().send.server), home);
   d.EndAttempt(d.last_id, 2, Result::kOk);
   EXPECT_EQ(d.Submit("a"), home);
 }
 
-// Guards against taking a server out for what its process before the last start was asked.
-TEST(Health, FailuresOfAnEarlierLifeTakeNoServerOut) {
+// A restarted server must not be ejected for failures of its previous process.
+TEST(Health, FailuresFromBeforeARestartDoNotEjectAServer) {
   for (const bool restarts : {false, true}) {
     Driver d;
     d.SetServers(4);
@@ -364,9 +368,9 @@
   }
 }
 
-// Guards against connections that fall silent while their server answers others: only the client's end
-// would tell.
-TEST(Health, AnOverdueAttemptIsTakenBackOnceWhileItCanStillBeInTime) {
+// Guards against connections that become unresponsive while their server answers on others: otherwise this
+// would only be noticed when the client gives up.
+TEST(Health, AnOverdueAttemptIsCancelledOnceWhileARetryCanBeInTime) {
   Driver d;
   d.SetServers(4);
   int home = -1;
@@ -375,24 +379,24 @@
   const RequestId lost = d.last_id;
   d.Submit("a", 1);
   const RequestId unsafe = d.last_id;
-  for (int i = 0; i < 3; ++i) d.Serve("a", milliseconds(10));  // the server is at work
+  for (int i = 0; i < 3; ++i) d.Serve("a", milliseconds(10));  // the server works
   EXPECT_TRUE(d.cancelled.empty());
-  d.Advance(milliseconds(70));        // the aim is 250 ms, the client's own end a second
-  ASSERT_EQ(d.cancelled.size(), 1u);  // not the one that must never run twice
+  d.Advance(milliseconds(70));        // the aim is 250 ms, the deadline 1 s
+  ASSERT_EQ(d.cancelled.size(), 1u);  // not the unsafe one
   EXPECT_EQ(d.cancelled[0], std::pair(lost, 0));
   d.EndAttempt(lost, 0, Result::kCancelled);
   EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);
   EXPECT_EQ(d.sends.back().send.id, lost);
   d.Advance(milliseconds(400));
-  EXPECT_EQ(d.cancelled.size(), 1u);  // once
+  EXPECT_EQ(d.cancelled.size(), 1u);  // only once
   EXPECT_NE(unsafe, lost);
 }
 
-// Guards against patience beyond the aim, where some answers usually take nearly as long as that.
-TEST(Health, AnAttemptIsTakenBackWhileAnotherCanStillBeInTime) {
+// Guards against waiting beyond the aim where some answers usually take nearly as long as the aim.
+TEST(Health, AnAttemptIsCancelledBeforeItsAimEvenIfSomeAnswersAreSlow) {
   Driver d;
   d.SetServers(4);
-  const auto lose_one = [&d] {  // a connection falls silent; what is asked again is answered at once
+  const auto lose_one = [&d] {  // an unresponsive connection; the retry is answered at once
     const std::size_t before = d.cancelled.size();
     d.Submit("a");
     const RequestId lost = d.last_id;
@@ -406,15 +410,15 @@
   for (int i = 0; i < 100; ++i) d.Serve("a", milliseconds(20));
   for (int i = 0; i < 6; ++i) {
     d.Serve("a");
-    EXPECT_TRUE(lose_one());  // far longer than any answer takes: and asking again is seen to help
+    EXPECT_TRUE(lose_one());  // far longer than any answer takes, and retries are seen to succeed
   }
   for (int i = 0; i < 60; ++i) d.Serve("a", milliseconds(i % 10 == 0 ? 200 : 20));
   d.Serve("a");
   EXPECT_TRUE(lose_one());  // 1.5 times the slowest answers would be past the aim of 250 ms
 }
 
-// In a tier that is merely slow a second attempt is as slow as the first.
-TEST(Health, WhereAskingAgainDoesNotHelpSlowAttemptsAreLeft) {
+// If all servers are slow, a retry is as slow as the first attempt.
+TEST(Health, SlowAttemptsAreNotCancelledIfRetriesDoNotHelp) {
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 100; ++i) d.Serve("a", milliseconds(20));
@@ -438,10 +442,11 @@
   EXPECT_LT(d.cancelled.size() - early, 2u);
 }
 
-// A large fleet from one balancer's view: sixty servers in two halls, some fifteen requests a second.
-class FewLooks : public ::testing::Test {
+// A large fleet as one balancer sees it: sixty servers in two zones, about fifteen requests a second, so
+// that it has few samples of each server.
+class LargeFleet : public ::testing::Test {
  protected:
-  explicit FewLooks(double cross_zone = 0, std::uint64_t seed = 1) : d(Priced(cross_zone), seed) {
+  explicit LargeFleet(double cross_zone = 0, std::uint64_t seed = 1) : d(Priced(cross_zone), seed) {
     std::vector<ServerEntry> entries;
     for (ServerId id = 0; id < 60; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
     d.List(ListKind::kRemembered, entries);
@@ -452,10 +457,10 @@
     s.prices.cross_zone = cross_zone;
     return s;
   }
-  // One request; those at `dead` servers end so, at the client's end or as their connection fails.
+  // Submits one request; attempts at `dead` servers end with `result`.
   int Next(const std::string& key, Result result = Result::kTimeout) {
     const int at = d.Submit(key, 0, seconds(1));
-    d.Advance(at % 2 == 0 ? home_takes : milliseconds(40));
+    d.Advance(at % 2 == 0 ? own_zone_latency : milliseconds(40));
     if (at >= 0 && !d.concluded.contains({d.last_id, 0})) {
       d.EndAttempt(d.last_id, 0, dead.contains(at) ? result : Result::kOk);
       d.AnswerAll();
@@ -464,43 +469,43 @@
     return at;
   }
   std::set<int> dead;
-  Duration home_takes = milliseconds(40);  // of servers in hall 0
+  Duration own_zone_latency = milliseconds(40);  // of servers in zone 0
   Driver d;
 };
 
-// Guards against a hundred balancers that each wait for three failures of a server that they meet every
-// four seconds: it cost most of a minute, and 7% of all requests.
-TEST_F(FewLooks, AServerIsLeftAfterOneFailureAndTriedAgainLater) {
+// Guards against a hundred balancers each waiting for three failures of a server that they sample every
+// four seconds: that took most of a minute, and cost 7% of all requests.
+TEST_F(LargeFleet, AServerIsEjectedAfterOneFailureAndTriedAgainLater) {
   for (const Result result : {Result::kTimeout, Result::kConnectFailed, Result::kError}) {
     const int home = Next("key");
     dead = {home};
     EXPECT_EQ(Next("key", result), home);
-    for (int i = 0; i < 45; ++i) EXPECT_NE(Next("key"), home);  // three seconds
+    for (int i = 0; i < 45; ++i) EXPECT_NE(Next("key"), home);  // for three seconds
     dead.clear();
     bool back = false;
     for (int i = 0; i < 600 && !back; ++i) back = Next("other" + std::to_string(i)) == home;
     EXPECT_TRUE(back);
-    d.Advance(seconds(30));  // and forgotten
+    d.Advance(seconds(30));  // until the failure has decayed
     for (int i = 0; i < 300; ++i) Next("more" + std::to_string(i));
   }
 }
 
-// Guards against learning server by server, at each balancer, that a whole hall is gone.
-TEST_F(FewLooks, ALostHallIsLeftAfterAFewServersAndTakenBackAtItsFirstAnswer) {
+// Guards against each balancer finding out server by server that a whole zone is down.
+TEST_F(LargeFleet, AZoneGoesDownAfterAFewServersFailAndIsUpAtItsFirstAnswer) {
   for (int id = 0; id < 60; id += 2) dead.insert(id);
   int met = 0;
   for (int i = 0; i < 150; ++i) met += Next("lost" + std::to_string(i), Result::kConnectFailed) % 2 == 0;
-  EXPECT_LE(met, 4 + 11);  // 10 s: a trial a second, and each is answered elsewhere
+  EXPECT_LE(met, 4 + 11);  // 10 s: one trial a second, and each is retried elsewhere
   EXPECT_GE(met, 8);
   EXPECT_TRUE(d.refused.empty() && d.failed.empty());
   dead.clear();
   met = 0;
   for (int i = 0; i < 150; ++i) met += Next("back" + std::to_string(i)) % 2 == 0;
-  EXPECT_GT(met, 40);  // about half again
+  EXPECT_GT(met, 40);  // about half of the requests again
 }
 
-// The same failures, with answers from the hall between them, are those servers' own.
-TEST_F(FewLooks, BadServersDoNotPassForALostHall) {
+// With answers from the zone in between, the same failures count for the servers only.
+TEST_F(LargeFleet, FailingServersAmongWorkingOnesDoNotTakeTheZoneDown) {
   dead = {0, 2, 4, 6, 8, 10};
   for (int i = 0; i < 150; ++i) Next("bad" + std::to_string(i), Result::kConnectFailed);
   int met = 0;
@@ -511,20 +516,20 @@
   EXPECT_GT(met, 30);
 }
 
-// Where crossing has a price new keys go to the own hall, and there to the same server at every balancer.
-struct PricedHalls : FewLooks {
-  using FewLooks::home_takes;
-  using FewLooks::Next;
-  explicit PricedHalls(std::uint64_t seed = 1) : FewLooks(0.13, seed) {}
-  int Away(const std::string& name) {
+// Crossing zones has a price, so new keys go to the own zone, to the same server at every balancer.
+struct PricedZones : LargeFleet {
+  using LargeFleet::Next;
+  using LargeFleet::own_zone_latency;
+  explicit PricedZones(std::uint64_t seed = 1) : LargeFleet(0.13, seed) {}
+  int CountOtherZone(const std::string& name) {
     int away = 0;
     for (int i = 0; i < 200; ++i) away += Next(name + std::to_string(i)) % 2 == 1;
     return away;
   }
   void TestBody() override {}
 };
-TEST(Halls, NewKeysGoToTheOwnHallAndToOneServerThere) {
-  PricedHalls one(1), other(2);
+TEST(Zones, NewKeysGoToTheSameServerOfTheOwnZoneAtEveryBalancer) {
+  PricedZones one(1), other(2);
   for (int i = 0; i < 100; ++i) {
     const int at = one.Next("new" + std::to_string(i));
     EXPECT_EQ(at % 2, 0);
@@ -532,23 +537,23 @@
   }
 }
 
-// Guards against a hall that drowns in its own traffic while the other one rests: no balancer meets one
-// server often enough to see its load.
-TEST(Halls, KeysCrossWhileTheOwnHallIsSlowerAndComeHomeAfterwards) {
-  PricedHalls t;
-  EXPECT_EQ(t.Away("even"), 0);
-  t.home_takes = milliseconds(150);
-  t.Away("slow");
-  const int away = t.Away("still");
+// Guards against a zone that is overloaded by its own traffic while the other one is idle: no balancer has
+// enough samples of a single server to see its load.
+TEST(Zones, KeysGoToOtherZonesWhileTheOwnIsSlowerAndReturn) {
+  PricedZones t;
+  EXPECT_EQ(t.CountOtherZone("even"), 0);
+  t.own_zone_latency = milliseconds(150);
+  t.CountOtherZone("slow");
+  const int away = t.CountOtherZone("still");
   EXPECT_GT(away, 60);
-  t.home_takes = milliseconds(40);
-  for (int i = 0; i < 3; ++i) t.Away("better" + std::to_string(i));
-  EXPECT_LT(t.Away("after"), 20);
+  t.own_zone_latency = milliseconds(40);
+  for (int i = 0; i < 3; ++i) t.CountOtherZone("better" + std::to_string(i));
+  EXPECT_LT(t.CountOtherZone("after"), 20);
 }
 
-// A small fleet meets each server often: there the hash places keys, whatever the hall, and loads move
-// them.
-TEST(Halls, WithManyLooksTheHashAloneDecides) {
+// In a small fleet there are many samples of each server, so the hash places keys regardless of the zone,
+// and loads move them.
+TEST(Zones, InASmallFleetTheHashDecidesRegardlessOfZone) {
   Settings s = PlainSettings();
   s.prices.cross_zone = 0.13;
   Driver d(s);
@@ -562,26 +567,28 @@
   EXPECT_LT(away, 140);
 }
 
-// Guards against idle connections into a lost hall: each would take a request and say nothing.
-TEST_F(FewLooks, ConnectionsIntoALostHallAreClosed) {
+// Guards against idle connections into a zone that is down: each would be used for a request and get no
+// answer.
+TEST_F(LargeFleet, IdleConnectionsIntoADownZoneAreClosed) {
   for (int id = 0; id < 60; id += 2) dead.insert(id);
   for (int i = 0; i < 30; ++i) Next("lost" + std::to_string(i), Result::kConnectFailed);
   std::set<ServerId> closed(d.closed.begin(), d.closed.end());
   EXPECT_EQ(closed.size(), 30u);
 }
 
-// Guards against taking back, by silence and by patience at once, more than may be asked again.
-TEST(Health, NoMoreIsTakenBackThanTheRetryBudgetBears) {
+// The checks for unresponsive servers and for overdue attempts together must not cancel more than may be
+// retried.
+TEST(Health, CancellationsDoNotExceedTheRetryBudget) {
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("a");
-  for (int i = 0; i < 48; ++i) d.Submit("k" + std::to_string(i));  // and nobody answers
+  for (int i = 0; i < 48; ++i) d.Submit("k" + std::to_string(i));  // and none is answered
   while (d.cancelled.empty() && d.now < seconds(200)) d.Advance(milliseconds(1));
   EXPECT_GE(d.cancelled.size(), 5u);
   EXPECT_LE(d.cancelled.size(), 10u);
 }
 
-TEST(Health, PatienceFollowsTheAim) {
+TEST(Health, PatienceScalesWithTheAim) {
   for (const int scale : {1, 4}) {
     Settings s = PlainSettings();
     s.classes[0].aim = milliseconds(250) * scale;
