--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,4 @@
-// The four rules, each kept by one instance alone.
+// The four rules (answers, effects, drains, cold servers), as one instance enforces them.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -20,7 +20,7 @@
   EXPECT_EQ(d.refused, std::vector<RequestId>{id});
 }
 
-TEST(Answers, WithoutServersARequestIsHeldAndThenEnded) {
+TEST(Answers, WithoutServersARequestIsHeldUntilItEnds) {
   Driver d;
   d.List(ListKind::kRemembered, {});
   EXPECT_EQ(d.Submit("a"), -1);
@@ -31,7 +31,7 @@
   EXPECT_EQ(d.refused.size() + d.failed.size(), 1u);
 }
 
-TEST(Answers, NothingGoesOutAfterTheEnd) {
+TEST(Answers, NothingIsSentAfterARequestHasEnded) {
   Driver d;
   d.SetServers(3);
   d.Submit("a");
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(Effects, AnUnsafeRequestThatNeverRanIsTriedAgain) {
+TEST(Effects, AnUnsafeRequestThatDidNotRunIsRetried) {
   Driver d;
   d.SetServers(3);
   d.Submit("a", 1);
@@ -64,7 +64,7 @@
   EXPECT_NE(d.sends[0].send.server, d.sends[1].send.server);
 }
 
-TEST(Effects, AKeyedRequestStaysInItsGroupAndWindow) {
+TEST(Effects, AKeyedRequestIsRetriedOnlyInItsGroupAndWindow) {
   Settings s = PlainSettings();
   Driver d(s);
   std::vector<ServerEntry> entries;
@@ -77,12 +77,12 @@
     d.Advance(milliseconds(310));
     const std::size_t before = d.sends.size();
     d.EndAttempt(d.last_id, 1, Result::kReset);
-    EXPECT_EQ(d.sends.size(), before);  // past the window
+    EXPECT_EQ(d.sends.size(), before);  // after the window
     d.Advance(seconds(2));
   }
 }
 
-TEST(Effects, NoTwoAttemptsAtOnceWhereNotAllowed) {
+TEST(Effects, NoParallelAttemptsUnlessAllowed) {
   Driver d;  // parallel_tries is off
   d.SetServers(3);
   for (int i = 0; i < 50; ++i) d.Serve("a" + std::to_string(i));
@@ -92,7 +92,7 @@
   EXPECT_EQ(d.sends.size(), before + 1);
 }
 
-TEST(Drains, ADrainingServerGetsNothing) {
+TEST(Drains, ADrainingServerGetsNoRequests) {
   Driver d;
   d.SetServers(2);
   ServerEntry draining = Up(0);
@@ -101,16 +101,16 @@
   for (int i = 0; i < 50; ++i) EXPECT_EQ(d.Serve("k" + std::to_string(i)), 1);
 }
 
-TEST(Drains, AServerLeftOutOfAWholeListIsGone) {
+TEST(Drains, AServerMissingFromACompleteListIsRemoved) {
   Driver d;
   d.SetServers(2);
   d.List(ListKind::kAll, {Up(1)});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(d.Serve("k" + std::to_string(i)), 1);
 }
 
-// The sends of one instance to a cold server stay within its share of multiple x capacity x window, where
-// the capacity is at least what it sends a warm one.
-TEST(Cold, AColdServerIsNotPushedOver) {
+// One instance's sends to a cold server stay within its share of multiple x capacity x window, where the
+// capacity is at least the rate that it sends to a warm server.
+TEST(Cold, AColdServerStaysWithinItsBudget) {
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 2000; ++i) d.Serve("w" + std::to_string(i), milliseconds(5));
@@ -133,10 +133,10 @@
                                  [&](Time t) { return t >= from && t < from + milliseconds(1500); });
     EXPECT_LE(static_cast<double>(n), 3 * share * warm_rate * 1.5 + 1) << "at age " << age;
   }
-  EXPECT_GT(cold.size(), 100u);  // and it is used
+  EXPECT_GT(cold.size(), 100u);  // and the cold server is used
 }
 
-TEST(Cold, AnInstanceThatKnowsLittleSendsNextToNothing) {
+TEST(Cold, AnInstanceWithoutSamplesSendsAlmostNothing) {
   Driver d;
   d.List(ListKind::kRemembered, {Up(0), Up(1), Up(2, d.now - seconds(1))});
   int cold = 0;
@@ -144,13 +144,14 @@
   EXPECT_LE(cold, 1);
 }
 
-// Lists that cannot be right: each has an outcome, and no request is lost by it.
+// Invalid lists: each is handled, and no request is lost.
 TEST(Lists, AStartInTheFutureCountsAsNow) {
   Driver d;
   d.SetServers(2);
   ServerEntry ahead = Up(2, d.now + seconds(3600));
   d.List(ListKind::kChanges, {ahead});
-  for (int round = 0; round < 30; ++round) {  // warm after its ramp of 20 s, however often it is told
+  for (int round = 0; round < 30;
+       ++round) {  // warm after its ramp of 20 s, however often the list is repeated
     d.Advance(seconds(1));
     d.List(ListKind::kChanges, {ahead});
     for (int i = 0; i < 20; ++i) d.Serve("k" + std::to_string(i), milliseconds(5));
@@ -163,7 +164,7 @@
   EXPECT_GT(after - before, 40u);
 }
 
-TEST(Lists, JumpingStartsEmptyListsAndUnknownServersLoseNothing) {
+TEST(Lists, InvalidListsLoseNoRequests) {
   for (const int balancers : {-1, 0, 1, 100, INT32_MAX}) {
     Settings s = PlainSettings();
     s.balancers = balancers;
@@ -204,18 +205,18 @@
     for (const auto& sent : d.sends) served += d.concluded.contains({sent.send.id, sent.attempt});
     EXPECT_EQ(served + d.refused.size() + d.failed.size(), asked) << balancers;
     EXPECT_GT(served, asked / 3) << balancers;
-    EXPECT_LT(d.subscribed.size(), 40u) << balancers;  // and no storm of calls
+    EXPECT_LT(d.subscribed.size(), 40u) << balancers;  // and calls to discovery stay few
   }
 }
 
-// Random legal histories at several settings, checked from outside with a ledger of their own.
+// Random valid histories under several settings, checked against an independent record.
 TEST(Property, RandomHistoriesKeepTheRules) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 random(seed);
     const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     Settings s = PlainSettings();
     s.allowed.parallel_tries = seed % 2 == 0;
-    s.balancers = seed % 3 == 0 ? 0 : 20;  // 0 is absurd, and must do no harm
+    s.balancers = seed % 3 == 0 ? 0 : 20;  // 0 is invalid, and must do no harm
     s.classes[2].group = seed % 3 == 1 ? Group::kAll : Group::kZone;
     if (seed % 5 == 0) {
       s.origin = Origin::kAside;
@@ -233,19 +234,19 @@
       if (pick(2) == 0) e.availability = Availability::kUp;
       return e;
     };
-    struct Held {
+    struct OpenRequest {
       int request_class;
       Time deadline;
-      bool told_end = false;
+      bool ended = false;
     };
-    std::map<RequestId, Held> held;
+    std::map<RequestId, OpenRequest> held;
     std::map<std::pair<RequestId, int>, Result> outcomes;
     std::size_t checked = 0;
     const auto check = [&] {
       for (; checked < d.sends.size(); ++checked) {
         const Driver::Sent& sent = d.sends[checked];
-        const Held& h = held.at(sent.send.id);
-        EXPECT_FALSE(h.told_end);
+        const OpenRequest& h = held.at(sent.send.id);
+        EXPECT_FALSE(h.ended);
         EXPECT_LT(sent.at, h.deadline);
         EXPECT_EQ(list[sent.send.server].availability, Availability::kUp);
         EXPECT_LT(sent.attempt, s.allowed.max_attempts);
@@ -296,7 +297,7 @@
       } else if (what == 1 && !held.empty()) {
         auto it = held.begin();
         std::advance(it, pick(static_cast<int>(held.size())));
-        it->second.told_end = true;
+        it->second.ended = true;
         d.Feed(ClientGone{it->first});
       } else if (what < 6) {
         const int c = pick(3);
@@ -312,7 +313,7 @@
               Result::kReset, Result::kMiss, Result::kTimeout};
           const Result result = kResults[pick(8)];
           outcomes[which] = result;
-          if (result == Result::kOk) held.at(sent.send.id).told_end = true;
+          if (result == Result::kOk) held.at(sent.send.id).ended = true;
           d.EndAttempt(sent.send.id, sent.attempt, result);
         }
       }
@@ -324,13 +325,13 @@
     for (const RequestId id : d.refused) ++ends[id];
     for (const RequestId id : d.failed) ++ends[id];
     for (const auto& [id, h] : held) {
-      if (h.told_end) {
+      if (h.ended) {
         EXPECT_LE(ends[id], 1);
       } else {
         EXPECT_EQ(ends[id], 1) << "seed " << seed << " request " << id;
       }
     }
-    for (const RequestId id : d.refused) {  // a refusal promises that a retry is harmless
+    for (const RequestId id : d.refused) {  // a refusal promises that a retry is safe
       for (int i = 0; i < d.attempts[id]; ++i) {
         const auto outcome = outcomes.find({id, i});
         const bool never_ran = outcome != outcomes.end() &&
