--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
-// A hundred balancers side by side that share nothing, in front of sixty servers in two halls, one origin
-// and one discovery, all counted. What is safe for one alone may do harm when all do it: the sums are
-// looked at here. Deterministic: one queue of events, seeded draws, no clock but its own.
+// A hundred independent balancers in front of sixty servers in two zones, one origin and one discovery.
+// What is safe for a single balancer may do harm when all do it, so these tests check the totals over the
+// fleet. Deterministic: one event queue, seeded random numbers, virtual time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 constexpr int kBalancers = 100;  // unless a test says otherwise
 constexpr ServerId kServers = 60;
 constexpr ServerId kOrigin = kServers;  // its id; replacements follow
-constexpr double kRate = 15;            // requests a second at each of them
+constexpr double kRate = 15;            // requests per second at each balancer
 
 Settings FleetSettings(int balancers = kBalancers) {
   Settings s = PlainSettings();
@@ -45,15 +45,15 @@
  public:
   struct Server {
     std::set<std::string> held;
-    bool silent = false;  // connections to it never come up
+    bool unreachable = false;  // connections to it cannot be opened
     ServerEntry entry;
     std::vector<Time> sends;
   };
-  // How discovery answers a call; it does so after `discovery_takes`.
-  enum class Discovery { kAnswers, kRefuses, kSilent };
+  // How discovery answers a call, after `discovery_takes`.
+  enum class Discovery { kAnswers, kRefuses, kUnresponsive };
 
-  // `uneven`: one balancer in five has so many times the traffic of another; the sum is the same.
-  // `even`: requests a second at a balancer of the mean.
+  // `uneven`: one balancer in five has this many times the traffic of the others; the total is the same.
+  // `even`: mean requests per second of a balancer.
   explicit Fleet(std::uint64_t seed = 1, int balancers = kBalancers, double uneven = 1, double even = kRate)
       : balancers_(balancers), uneven_(uneven), even_(even), random_(seed) {
     for (ServerId id = 0; id <= kOrigin; ++id) {
@@ -61,24 +61,24 @@
       if (id == kOrigin) e.kind = 1;
       Add(e);
     }
-    nodes.resize(static_cast<std::size_t>(balancers));
+    routers.resize(static_cast<std::size_t>(balancers));
     for (int i = 0; i < balancers; ++i) Start(i);
-    for (int i = 0; i < balancers; ++i) Arrive(i);
+    for (int i = 0; i < balancers; ++i) ScheduleArrival(i);
   }
 
   void Add(const ServerEntry& e) {
     servers.emplace_back();
     servers.back().entry = e;
   }
-  // A balancer starts from nothing but the list it remembers.
+  // Starts or restarts a balancer that has only a persisted list.
   void Start(int i) {
     Settings s = FleetSettings(balancers_);
     s.me = i;
     s.zone = i % 2;
-    Node& n = nodes[static_cast<std::size_t>(i)];
-    ++n.run;
+    Router& n = routers[static_cast<std::size_t>(i)];
+    ++n.incarnation;
     n.open.clear();
-    n.told = false;
+    n.notified = false;
     n.balancer = std::make_unique<Balancer>(s, random_());
     Feed(i, ServerList{ListKind::kRemembered, known.empty() ? All() : known});
   }
@@ -87,7 +87,7 @@
     for (const Server& s : servers) all.push_back(s.entry);
     return all;
   }
-  void TellAll() {
+  void NotifyAll() {
     for (int i = 0; i < balancers_; ++i) Feed(i, ServerList{ListKind::kChanges, All()});
   }
   void Run(Duration d) {
@@ -100,8 +100,8 @@
     }
     now = end;
   }
-  // Most of what fell into a window of that length.
-  static int Most(const std::vector<Time>& at, Duration window) {
+  // The maximum number of events in any window of that length.
+  static int MaxInWindow(const std::vector<Time>& at, Duration window) {
     int most = 0;
     std::size_t from = 0;
     for (std::size_t i = 0; i < at.size(); ++i) {
@@ -120,39 +120,40 @@
     return static_cast<double>(in_time) / asked;
   }
 
-  struct Node {
+  struct Router {
     std::unique_ptr<Balancer> balancer;
-    bool told = false;  // discovery has answered since its start
-    int run = 0;        // counts its starts: what is on its way to an earlier one is lost
+    bool notified = false;  // discovery has answered since its start
+    int incarnation = 0;    // counts its starts: events for an earlier one are dropped
     struct Open {
       std::string key;
       std::size_t number;
       int attempts = 0;
       int out = -1;
-      ServerId at = 0;  // of the attempt that is out
+      ServerId at = 0;  // of the outstanding attempt
       std::vector<ServerId> missed;
     };
     std::map<RequestId, Open> open;
   };
-  double hot = 0, fresh_keys = 0;  // shares of the requests: for one key, and for keys never asked before
-  std::vector<Node> nodes;
+  double hot = 0, fresh_keys = 0;  // shares of the requests: for one key, and for new keys
+  std::vector<Router> routers;
   std::vector<Server> servers;
-  std::vector<ServerEntry> known;  // what a starting balancer remembers; empty: what is true
-  std::vector<Time> calls;         // to discovery
+  std::vector<ServerEntry>
+      known;                // the list that a starting balancer has persisted; empty: the current one
+  std::vector<Time> calls;  // to discovery
   Discovery discovery = Discovery::kAnswers;
   Duration discovery_takes = milliseconds(10);
   Time now{seconds(1000)};
-  int late_sends = 0;  // to servers that have drained for longer than the grace
+  int late_sends = 0;  // to servers that have been draining for longer than the grace period
   std::map<ServerId, Time> drained_at;
 
  private:
   void At(Time t, std::function<void()> call) { queue_.emplace(t, std::move(call)); }
 
-  void Arrive(int i) {
+  void ScheduleArrival(int i) {
     const double rate = even_ * (i % 5 == 0 ? uneven_ : 1) / (0.8 + 0.2 * uneven_);
     const double gap = -std::log(1 - Unit()) / rate;
     At(now + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap)), [this, i] {
-      Node& n = nodes[static_cast<std::size_t>(i)];
+      Router& n = routers[static_cast<std::size_t>(i)];
       NewRequest r;
       r.id = ++last_id_;
       const double u = Unit();
@@ -163,26 +164,26 @@
       n.open[r.id] = {*r.key, asked_.size(), 0, -1, 0, {}};
       asked_.emplace_back(now, false);
       Feed(i, r);
-      Arrive(i);
+      ScheduleArrival(i);
     });
   }
 
   void Feed(int i, const Event& e) {
     Actions out;
-    nodes[static_cast<std::size_t>(i)].balancer->Handle(now, e, out);
-    for (const Action& a : out) Do(i, a);
+    routers[static_cast<std::size_t>(i)].balancer->Handle(now, e, out);
+    for (const Action& a : out) Execute(i, a);
   }
   void Later(int i, Duration d, std::function<void()> call) {
-    const int run = nodes[static_cast<std::size_t>(i)].run;
-    At(now + d, [this, i, run, call = std::move(call)] {
-      if (nodes[static_cast<std::size_t>(i)].run == run) call();
+    const int incarnation = routers[static_cast<std::size_t>(i)].incarnation;
+    At(now + d, [this, i, incarnation, call = std::move(call)] {
+      if (routers[static_cast<std::size_t>(i)].incarnation == incarnation) call();
     });
   }
 
-  void Do(int i, const Action& a) {
-    Node& n = nodes[static_cast<std::size_t>(i)];
+  void Execute(int i, const Action& a) {
+    Router& n = routers[static_cast<std::size_t>(i)];
     if (const auto* send = std::get_if<Send>(&a)) {
-      Node::Open& r = n.open.at(send->id);
+      Router::Open& r = n.open.at(send->id);
       const int attempt = r.attempts++;
       ASSERT_EQ(r.out, -1) << "two attempts at once";
       r.out = attempt;
@@ -193,7 +194,7 @@
       late_sends += drained != drained_at.end() && now - drained->second > seconds(1);
       Result result = Result::kOk;
       Duration takes = milliseconds(40 + static_cast<int>(40 * Unit()));
-      if (s.silent) {
+      if (s.unreachable) {
         result = Result::kConnectFailed;
         takes = milliseconds(200);
       } else if (send->server == kOrigin) {
@@ -217,10 +218,10 @@
             [this, i, token = timer->token] { Feed(i, TimerFired{token}); });
     } else if (std::holds_alternative<Subscribe>(a)) {
       calls.push_back(now);
-      if (discovery == Discovery::kSilent) return;
+      if (discovery == Discovery::kUnresponsive) return;
       Later(i, discovery_takes, [this, i] {
         const bool ok = discovery == Discovery::kAnswers;
-        nodes[static_cast<std::size_t>(i)].told |= ok;
+        routers[static_cast<std::size_t>(i)].notified |= ok;
         Feed(i,
              ServerList{ok ? ListKind::kAll : ListKind::kRefused, ok ? All() : std::vector<ServerEntry>{}});
       });
@@ -231,10 +232,10 @@
     }
   }
   void End(int i, RequestId id, ServerId server, int attempt, Result result) {
-    Node& n = nodes[static_cast<std::size_t>(i)];
+    Router& n = routers[static_cast<std::size_t>(i)];
     const auto open = n.open.find(id);
     if (open == n.open.end() || open->second.out != attempt) return;
-    Node::Open& r = open->second;
+    Router::Open& r = open->second;
     r.out = -1;
     if (result == Result::kMiss) r.missed.push_back(server);
     Outcome o;
@@ -261,8 +262,8 @@
   RequestId last_id_ = 0;
 };
 
-// What servers of one kind carry here, and what a cold one may be sent: in any window of `fall` no more
-// than the stated multiple of its present capacity. Servers are taken to be half busy.
+// What a cold server may be sent in any window of `fall`: the stated multiple of its present capacity.
+// Servers are taken to be at half of their capacity.
 double Budget(Duration age) {
   const Settings s = FleetSettings();
   const double capacity = 2 * kBalancers * kRate / kServers;
@@ -272,7 +273,7 @@
          std::chrono::duration<double>(s.rules.fall).count();
 }
 
-TEST(Fleet, ColdServersGetWorkAndNoneIsPushedOverByAllTogether) {
+TEST(Fleet, ColdServersGetRequestsAndNoneExceedsItsBudgetOverAllBalancers) {
   Fleet f;
   f.Run(seconds(10));
   const std::vector<ServerId> cold = {4, 5, 16, 17, 28, 29};
@@ -281,7 +282,7 @@
     f.servers[id].held.clear();
   }
   const Time start = f.now;
-  f.TellAll();  // all hear of it at once
+  f.NotifyAll();  // all are notified at once
   f.Run(seconds(24));
   EXPECT_GT(f.InTime(start, f.now - seconds(2)), 0.97);
   for (const ServerId id : cold) {
@@ -294,18 +295,20 @@
       for (const Time t : sends) {
         if (t >= start + seconds(second) && t < start + seconds(second + 4)) part.push_back(t);
       }
-      EXPECT_LT(Fleet::Most(part, seconds(2)), Budget(seconds(second)))
+      EXPECT_LT(Fleet::MaxInWindow(part, seconds(2)), Budget(seconds(second)))
           << "server " << id << " at " << second;
     }
     EXPECT_GT(sends.size(), 24 * kBalancers * kRate / kServers / 5) << "server " << id;
   }
 }
 
-// The most that all together send to one cold server in any window of `fall`, as a share of what may come:
-// beyond the budget of N calls only 2 x root of N + 2 are chance. Every other server starts cold at once.
-double WorstPush(std::uint64_t seed, int balancers, double uneven, double all, double hot, bool restarted) {
+// The most that all balancers together send to one cold server in any window of `fall`, as a share of what
+// is allowed: the budget of N calls and 2 * sqrt(N) + 2 for chance. Half of the servers restart cold at
+// once.
+double WorstColdLoad(std::uint64_t seed, int balancers, double uneven, double all, double hot,
+                     bool restarted) {
   const double each = all / balancers;
-  const double scale = all / (kBalancers * kRate);  // of the traffic, and so of all capacities
+  const double scale = all / (kBalancers * kRate);  // of the traffic, and so of the capacities
   Fleet f(seed, balancers, uneven, each);
   f.Run(seconds(10));
   std::vector<ServerId> cold;
@@ -320,9 +323,9 @@
   if (restarted) {
     for (int i = 0; i < balancers; ++i) f.Start(i);
   }
-  f.TellAll();
+  f.NotifyAll();
   f.Run(seconds(8));
-  // What the ramp may cost, once a router that has just begun has seen some seconds.
+  // The ramp must not cost more than this, once a restarted router has samples of a few seconds.
   EXPECT_GT(f.InTime(start + seconds(restarted ? 4 : 0), f.now - seconds(2)), 0.9) << balancers;
   double worst = 0;
   std::size_t to_cold = 0;
@@ -335,14 +338,14 @@
       worst = std::max(worst, static_cast<double>(i - from + 1) / (n + 2 * std::sqrt(n) + 2));
     }
   }
-  EXPECT_GT(to_cold, 0.03 * all * 8) << balancers;  // and none of it by leaving them out
+  EXPECT_GT(to_cold, 0.03 * all * 8) << balancers;  // and not by avoiding cold servers
   return worst;
 }
 
-// N is 48 at the start of each where 1,500 requests a second come, and 10 where 300 do.
-TEST(Fleet, TheRampOfAColdServerHoldsOverTheFleetHoweverUnequalItsTraffic) {
+// N is 48 at the start of the ramp with 1,500 requests per second in total, and 10 with 300.
+TEST(Fleet, TheBudgetOfAColdServerHoldsOverTheFleetWithUnequalTraffic) {
   const auto check = [](int balancers, double all, double hot, bool restarted) {
-    EXPECT_LT(WorstPush(1, balancers, 6, all, hot, restarted), 1)
+    EXPECT_LT(WorstColdLoad(1, balancers, 6, all, hot, restarted), 1)
         << balancers << " balancers, " << all << " a second, hot " << hot << ", restarted " << restarted;
   };
   for (const int balancers : {3, 24, 30}) {
@@ -355,8 +358,8 @@
   check(256, 300, 0.2, false);
 }
 
-TEST(Fleet, NineInTenStartAnewWhileDiscoveryFails) {
-  for (const Fleet::Discovery fails : {Fleet::Discovery::kRefuses, Fleet::Discovery::kSilent}) {
+TEST(Fleet, NineInTenBalancersRestartWhileDiscoveryFails) {
+  for (const Fleet::Discovery fails : {Fleet::Discovery::kRefuses, Fleet::Discovery::kUnresponsive}) {
     Fleet f;
     f.Run(seconds(10));
     f.known = f.All();
@@ -365,54 +368,55 @@
     const Time start = f.now;
     for (int i = 0; i < kBalancers * 9 / 10; ++i) f.Start(i);
     f.Run(seconds(20));
-    // Requests are served from the list that is remembered, learnt anew or not.
+    // Requests are served from the persisted list, with or without restored knowledge.
     EXPECT_GT(f.InTime(start + milliseconds(100), f.now - seconds(2)), 0.97);
-    // Each asks soon, none all at once, and refusals bring no storm.
+    // Each calls soon, not all at once, and refusals do not cause a storm of calls.
     EXPECT_GE(f.calls.size(), 90u);
-    EXPECT_LE(Fleet::Most(f.calls, milliseconds(100)), 15);
+    EXPECT_LE(Fleet::MaxInWindow(f.calls, milliseconds(100)), 15);
     EXPECT_LE(f.calls.size(), 90u * 20);
-    if (fails == Fleet::Discovery::kSilent) continue;  // the watch's own time limit makes a refusal of it
-    // Once it answers again all hear within the time that the rules give.
+    if (fails == Fleet::Discovery::kUnresponsive)
+      continue;  // the time limit of the call turns it into a refusal
+    // Once it answers again, all receive the list within the required time.
     f.discovery = Fleet::Discovery::kAnswers;
     f.Run(seconds(10));
-    EXPECT_GE(std::count_if(f.nodes.begin(), f.nodes.end(), [](auto& n) { return n.told; }),
+    EXPECT_GE(std::count_if(f.routers.begin(), f.routers.end(), [](auto& n) { return n.notified; }),
               kBalancers * 9 / 10);
   }
 }
 
-TEST(Fleet, AHallIsLostAndComesBackCold) {
+TEST(Fleet, AZoneGoesDownAndReturnsCold) {
   Fleet f;
   f.Run(seconds(10));
-  const auto hall = [&](bool silent) {
+  const auto set_zone_unreachable = [&](bool unreachable) {
     for (ServerId id = 0; id < kServers; id += 2) {
-      f.servers[id].silent = silent;
+      f.servers[id].unreachable = unreachable;
       f.servers[id].sends.clear();
       f.servers[id].held.clear();
     }
   };
-  hall(true);
+  set_zone_unreachable(true);
   const Time lost = f.now;
   f.Run(seconds(8));
   EXPECT_GT(f.InTime(lost, lost + seconds(8)), 0.95);
   int met = 0;
   for (ServerId id = 0; id < kServers; id += 2) met += static_cast<int>(f.servers[id].sends.size());
-  // A few looks at each balancer and one trial a second, of 1,500 requests a second and half of the
-  // servers.
+  // A few samples at each balancer and one trial per second, out of 1,500 requests per second for half of
+  // the servers.
   EXPECT_LT(met, kBalancers * (8 + 16));
-  hall(false);
+  set_zone_unreachable(false);
   for (ServerId id = 0; id < kServers; id += 2) f.servers[id].entry.started = f.now;
   const Time back = f.now;
   f.servers[kOrigin].sends.clear();
-  f.TellAll();
+  f.NotifyAll();
   f.Run(seconds(12));
   EXPECT_GT(f.InTime(back, f.now - seconds(2)), 0.97);
   for (ServerId id = 0; id < kServers; id += 2) {
     EXPECT_GT(f.servers[id].sends.size(), 12u) << "server " << id;
-    EXPECT_LT(Fleet::Most(f.servers[id].sends, seconds(2)), Budget(seconds(6)));
+    EXPECT_LT(Fleet::MaxInWindow(f.servers[id].sends, seconds(2)), Budget(seconds(6)));
   }
 }
 
-TEST(Fleet, SixInTenServersAreReplacedInSecondsWhileTheOldOnesDrain) {
+TEST(Fleet, SixInTenServersAreReplacedWithinSecondsWhileTheOldOnesDrain) {
   Fleet f;
   f.Run(seconds(10));
   const Time start = f.now;
@@ -422,7 +426,7 @@
     f.servers[old].entry.availability = Availability::kDraining;
     f.drained_at[old] = f.now;
     if (old % 6 == 5) {
-      f.TellAll();
+      f.NotifyAll();
       f.Run(seconds(1));
     }
   }
@@ -431,11 +435,11 @@
   EXPECT_GT(f.InTime(start, f.now - seconds(2)), 0.95);
   for (ServerId id = kOrigin + 1; id < f.servers.size(); ++id) {
     EXPECT_GT(f.servers[id].sends.size(), 6u) << "server " << id;
-    EXPECT_LT(Fleet::Most(f.servers[id].sends, seconds(2)), Budget(seconds(3))) << "server " << id;
+    EXPECT_LT(Fleet::MaxInWindow(f.servers[id].sends, seconds(2)), Budget(seconds(3))) << "server " << id;
   }
 }
 
-TEST(Fleet, KeysStayOnOneServerInEachHall) {
+TEST(Fleet, KeysStayOnOneServerInEachZone) {
   Fleet f;
   f.Run(seconds(15));
   std::size_t sends = 0, held = 0;
@@ -445,7 +449,7 @@
     held += f.servers[id].held.size();
     keys.insert(f.servers[id].held.begin(), f.servers[id].held.end());
   }
-  EXPECT_LT(static_cast<double>(held), 2.1 * static_cast<double>(keys.size()));  // one home in each hall
+  EXPECT_LT(static_cast<double>(held), 2.1 * static_cast<double>(keys.size()));  // one holder in each zone
   EXPECT_LT(static_cast<double>(f.servers[kOrigin].sends.size()), 0.35 * static_cast<double>(sends));
 }
 
