--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,11 +1,11 @@
-// The module stays short enough to be read at night.
+// Limits on the size of the decision module's source files.
 #include <gtest/gtest.h>
 
 #include <filesystem>
 #include <fstream>
 #include <string>
 
-TEST(Limits, ThePolicyFilesAreShortAndNarrow) {
+TEST(Limits, PolicyFilesAreShortAndNarrow) {
   int all_lines = 0;
   for (const auto& file : std::filesystem::directory_iterator(BEECHLEDGE_POLICY_FOLDER)) {
     std::ifstream text(file.path());
@@ -21,7 +21,7 @@
   EXPECT_GE(all_lines, 300);
 }
 
-// The deploy file names each of them, so that none escapes the count.
+// Policy files that the deploy file does not name would not be counted as part of the policy.
 TEST(Limits, TheDeployFileNamesEveryPolicyFile) {
   std::ifstream file(std::string(BEECHLEDGE_POLICY_FOLDER) + "/../../deploy/balancer.toml");
   const std::string deploy((std::istreambuf_iterator<char>(file)), {});
