--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: each wire event, each kind of bad input.
+// The bench adapter: each kind of event, and each kind of invalid input.
 #include "link.h"
 
 #include <gtest/gtest.h>
@@ -59,7 +59,7 @@
   EXPECT_NE(reply.find(R"("time":240002000)"), reply.npos) << reply;
 }
 
-TEST_F(LinkTest, IdsAreForgottenOnceEndedAndAnswered) {
+TEST_F(LinkTest, ARequestIsErasedOnceEndedAndItsAttemptsHaveOutcomes) {
   Attach();
   Batch("2000", {Ask()});
   EXPECT_EQ(link.open_requests(), 1u);
@@ -68,7 +68,7 @@
   Batch("3500", {std::string(R"({"CLIENT_GONE":{"who":3,"req":")") + kId + "\"}}"});
 }
 
-TEST_F(LinkTest, ALateOutcomeAfterTheEndIsTaken) {
+TEST_F(LinkTest, AnOutcomeAfterTheEndIsAccepted) {
   Attach();
   Batch("2000", {Ask()});
   Batch("3000", {std::string(R"({"CLIENT_GONE":{"who":3,"req":")") + kId + "\"}}"});
@@ -77,7 +77,7 @@
   EXPECT_EQ(link.open_requests(), 0u);
 }
 
-TEST_F(LinkTest, EveryOtherEventIsTaken) {
+TEST_F(LinkTest, AllOtherEventsAreAccepted) {
   Attach();
   Batch("2000", {R"({"FIRED":{"who":3,"ref":9223372036854775808}})",
                  R"({"PONG":{"who":3,"node":"n1","reason":10,"duration":5,"metrics":{"queue":1}}})",
@@ -98,7 +98,7 @@
   EXPECT_EQ(link.open_requests(), 0u);
 }
 
-TEST_F(LinkTest, UnknownEventsAndInstancesArePassedOverWithANote) {
+TEST_F(LinkTest, UnknownEventsAndInstancesAreIgnoredWithANote) {
   Attach();
   EXPECT_EQ(Batch("2000", {R"({"WEATHER":{"who":3}})", R"({"FIRED":{"who":8,"ref":1}})"}),
             "{\"READY\":{}}\n");
@@ -106,7 +106,7 @@
   EXPECT_NE(notes.find("instance 8"), notes.npos);
 }
 
-TEST_F(LinkTest, BadInputIsToldWithItsLine) {
+TEST_F(LinkTest, InvalidInputIsReportedWithItsLine) {
   EXPECT_NE(Refused("{\"TICK\":").find("line 1: expected a JSON value"), std::string::npos);
   EXPECT_NE(Refused("[1]").find("line 2: expected an object"), std::string::npos);
   EXPECT_NE(Refused(R"({"FIRED":{"who":3,"ref":1}})").find("expected TICK before FIRED"),
@@ -114,7 +114,7 @@
   EXPECT_NE(Refused(R"({"TICK":{"clock":"soon"}})").find("clock as an integer"), std::string::npos);
 }
 
-TEST_F(LinkTest, RequiredFieldsMustBeThereAndOfTheirType) {
+TEST_F(LinkTest, RequiredFieldsMustBePresentAndOfTheirType) {
   Attach();
   std::string reply;
   link.Feed(R"({"TICK":{"clock":5000}})", reply, notes);
