--- a/tests/driver.h
+++ b/tests/driver.h
@@ -1,4 +1,4 @@
-// A scripted clock and host for tests of the module: it feeds events and keeps the actions.
+// A scripted clock and host for tests of the module: passes it events and records its actions.
 #ifndef BEECHLEDGE_TESTS_DRIVER_H_
 #define BEECHLEDGE_TESTS_DRIVER_H_
 
@@ -57,7 +57,7 @@
   explicit Driver(Settings settings = PlainSettings(), std::uint64_t seed = 1)
       : balancer_(settings, seed) {}
 
-  // Moves the clock, firing timers that fall due on the way.
+  // Advances the clock, firing the timers that become due.
   void AdvanceTo(Time t) {
     while (!timers_.empty() && timers_.begin()->first <= t) {
       const auto [at, token] = *timers_.begin();
@@ -93,9 +93,9 @@
     }
   }
 
-  Kept Keep(std::size_t most_keys = 1000) const { return balancer_.Keep(now, most_keys); }
+  Kept Keep(std::size_t max_keys = 1000) const { return balancer_.Keep(now, max_keys); }
   bool Avoids(ServerId server) const { return balancer_.Avoids(server); }
-  void Recall(const Kept& kept, double faith = 1) { balancer_.Recall(now, kept, faith); }
+  void Recall(const Kept& kept, double confidence = 1) { balancer_.Recall(now, kept, confidence); }
 
   void List(ListKind kind, std::vector<ServerEntry> entries) { Feed(ServerList{kind, std::move(entries)}); }
   void SetServers(ServerId n) {
@@ -104,7 +104,7 @@
     List(ListKind::kRemembered, entries);
   }
 
-  // Asks, and returns the server it was sent to at once; -1 when none.
+  // Submits a request and returns the server that it was sent to at once; -1: none.
   int Submit(const std::string& key, int request_class = 0, Duration ttl = seconds(1), bool write = false) {
     NewRequest r;
     r.id = ++last_id;
@@ -132,7 +132,7 @@
       }
     }
   }
-  // Ends all that is out.
+  // Ends all outstanding attempts.
   void AnswerAll(Result result = Result::kOk) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       const auto [id, attempt] = std::pair(sends[i].send.id, sends[i].attempt);
@@ -162,7 +162,7 @@
   std::vector<Time> refused_at, subscribed;
   std::vector<Duration> retry_after;
   std::vector<std::pair<RequestId, int>> cancelled;
-  std::vector<ServerId> closed;  // whose idle connections were given back
+  std::vector<ServerId> closed;  // servers whose idle connections were closed
 
  private:
   Balancer balancer_;
