--- a/tests/sight/paces_test.cpp
+++ b/tests/sight/paces_test.cpp
@@ -1,4 +1,4 @@
-// What is learnt of the servers' capacity from few answers, alone and in the module that uses it.
+// Relative latencies and weights of servers, learned from few answers: the class alone, and in the module.
 #include "sight/paces.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace beechledge::testing {
 namespace {
 
-TEST(ServerLatencies, AServerMetSeldomLeansOnItsKind) {
+TEST(ServerLatencies, AServerWithFewSamplesUsesItsKindsLatency) {
   ServerLatencies p;
   for (ServerId id = 0; id < 8; ++id) p.Add(id, id < 4 ? 1 : 2, 0, 0);
   Time now = seconds(100);
@@ -21,17 +21,17 @@
     for (ServerId id : {4u, 5u, 6u, 7u}) p.RecordAnswer(id, now, milliseconds(30), false);
     now += milliseconds(100);
   }
-  // Server 3 has not answered once, and its kind speaks for it.
+  // Server 3 has not answered yet, so its kind's latency is used.
   EXPECT_EQ(p.Samples(3, now), 0);
   EXPECT_GT(p.RelativeLatency(3, now), 0.25);
   EXPECT_LT(p.RelativeLatency(5, now), -0.25);
-  // One slow answer of one server is not evidence against it: its kind still says that it is quick.
+  // One slow answer of a server is little evidence: the latency of its kind still dominates.
   p.Add(7, 2, 0, 0);
   p.RecordAnswer(7, now, milliseconds(300), false);
   EXPECT_LT(p.RelativeLatency(7, now), 0.1);
 }
 
-TEST(ServerLatencies, WeightsMoveBySmallStepsTowardsEqualTimesAndStayForChance) {
+TEST(ServerLatencies, WeightsMoveInSmallStepsAndIgnoreChanceDifferences) {
   ServerLatencies p;
   for (ServerId id = 0; id < 4; ++id) p.Add(id, static_cast<int>(id), 0, 0);
   Time now = seconds(100);
@@ -40,12 +40,12 @@
     p.RecordAnswer(0, now, milliseconds(120), false);
     for (ServerId id : {1u, 2u, 3u}) p.RecordAnswer(id, now, milliseconds(i % 2 ? 38 : 42), false);
     p.AdjustWeights(now);
-    EXPECT_GT(p.Weight(0), 0.9 * before) << "more than a step at once";
+    EXPECT_GT(p.Weight(0), 0.9 * before) << "more than one step";
     before = p.Weight(0);
   }
   EXPECT_LT(p.Weight(0), 0.7);
-  EXPECT_EQ(p.Weight(1), p.Weight(2)) << "what differs by chance alone stays together";
-  // Once it is as quick as the others it has its part again.
+  EXPECT_EQ(p.Weight(1), p.Weight(2)) << "differences by chance must not move weights";
+  // Once it is as fast as the others its weight recovers.
   for (int i = 0; i < 1800; ++i, now += milliseconds(100)) {
     for (ServerId id : {0u, 1u, 2u, 3u}) p.RecordAnswer(id, now, milliseconds(40), false);
     p.AdjustWeights(now);
@@ -53,7 +53,7 @@
   EXPECT_GT(p.Weight(0), 0.8);
 }
 
-TEST(ServerLatencies, WhatTheListStatesIsWhereItStartsAndIsBounded) {
+TEST(ServerLatencies, StatedSizesSetInitialWeightsWithinBounds) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   struct Row {
     double size, least, most;
@@ -71,7 +71,7 @@
     EXPECT_GE(p.Weight(0), ServerLatencies::kMinWeight) << row.size;
     EXPECT_TRUE(std::isfinite(p.Weight(0)));
   }
-  // A size that changes with every list moves its weight by one step at a time.
+  // If the stated size changes with every list, the weight still moves by one step at a time.
   ServerLatencies p;
   for (ServerId id = 0; id < 6; ++id) p.Add(id, 0, 0, 1);
   Time now = seconds(100);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(ServerLatencies, NewKindsWithoutEndStayBounded) {
+TEST(ServerLatencies, TheNumberOfGroupsIsBounded) {
   ServerLatencies p;
   Time now = seconds(100);
   for (int kind = 0; kind < 4096; ++kind) {
@@ -94,7 +94,7 @@
   p.AdjustWeights(now + seconds(1));
 }
 
-TEST(ServerLatencies, ASuccessorStartsWithoutWhatWasLearntOfTheOneBefore) {
+TEST(ServerLatencies, AReplacedServerStartsWithoutItsPredecessorsSamples) {
   ServerLatencies p;
   for (ServerId id = 0; id < 3; ++id) p.Add(id, 0, 0, 0);
   Time now = seconds(100);
@@ -108,9 +108,10 @@
   EXPECT_EQ(p.Samples(0, now), 0);
 }
 
-// Four warm servers that answer in 200 ms, and a cold one in `cold_takes`: what it got from 3 s to 8 s of
-// its ramp, as a part of what it may be sent (fall_multiple times what it can do then).
-double ColdPart(Duration cold_takes) {
+// Four warm servers answer in 200 ms and a cold one in `cold_takes`. Returns what the cold one was sent
+// between 3 s and 8 s of its ramp, as a share of what it may be sent (fall_multiple times its present
+// capacity).
+double ColdShare(Duration cold_takes) {
   Settings settings = PlainSettings();
   settings.origin = Origin::kAside;
   settings.origin_kind = 7;
@@ -143,16 +144,15 @@
   return cold / allowed;
 }
 
-// Guards against cold servers at ease beside warm ones that drown (a fleet that has lost some servers), and
-// against pushing on one whose answers say that it has enough.
-TEST(ServerLatencies, AColdServerAtEaseGetsMoreAndASlowOneDoesNot) {
-  const double at_ease = ColdPart(milliseconds(100)), slow = ColdPart(milliseconds(400));
-  EXPECT_GT(at_ease, 0.6);
+// Guards against lightly loaded cold servers beside overloaded warm ones (in a fleet that has lost
+// servers), and against sending more to a cold one whose slow answers show that it is loaded.
+TEST(ServerLatencies, ALightlyLoadedColdServerGetsMoreAndASlowOneDoesNot) {
+  const double lightly_loaded = ColdShare(milliseconds(100)), slow = ColdShare(milliseconds(400));
+  EXPECT_GT(lightly_loaded, 0.6);
   EXPECT_LT(slow, 0.45);
 }
 
-// Requests at a steady pace, each answered after what its server takes. Counts by server from `count_from`
-// on.
+// Submits requests at a constant rate, each answered after its server's time. Returns the count by server.
 std::map<int, int> Sent(Driver& d, int keys, Duration length, const std::map<int, Duration>& takes,
                         Duration every = milliseconds(4)) {
   std::map<int, int> sent;
@@ -186,7 +186,7 @@
   return e;
 }
 
-// Eight servers, four of each kind; of unlike ones the first kind takes twice as long.
+// Eight servers, four of each kind. If `unlike`, the first kind takes twice as long.
 std::pair<std::vector<ServerEntry>, std::map<int, Duration>> TwoKinds(bool unlike) {
   std::pair<std::vector<ServerEntry>, std::map<int, Duration>> all;
   for (ServerId id = 0; id < 8; ++id) {
@@ -195,7 +195,7 @@
   }
   return all;
 }
-// The share that went to the first kind.
+// The share of requests sent to the first kind.
 double FirstKind(const std::map<int, int>& sent) {
   int part = 0, all = 0;
   for (const auto& [server, n] : sent) {
@@ -205,9 +205,9 @@
   return static_cast<double>(part) / all;
 }
 
-// Guards against servers that are all sent alike, however unlike they are: mapped keys leave those that
-// answer slowly, a part at a time, and stay where all answer alike.
-TEST(Weights, KeysLeaveServersThatAnswerSlowlyAndStayWhereAllAnswerAlike) {
+// Guards against unequal servers that all get the same load: mapped keys leave slow servers, a few at a
+// time, and stay if all servers answer alike.
+TEST(Weights, KeysLeaveSlowServersAndStayIfAllAnswerAlike) {
   for (const bool unlike : {false, true}) {
     Driver d(AsideSettings(300));
     const auto [list, takes] = TwoKinds(unlike);
@@ -216,7 +216,7 @@
     double last = before;
     for (int i = 0; i < 12; ++i) {
       const double now = FirstKind(Sent(d, 400, seconds(2), takes));
-      EXPECT_LT(std::abs(now - last), 0.2) << "a stampede";
+      EXPECT_LT(std::abs(now - last), 0.2) << "too many keys moved at once";
       last = now;
     }
     if (unlike) {
@@ -227,9 +227,10 @@
   }
 }
 
-// Guards against a size that is followed only from a server's next start on: one that grows gets more of
-// the new keys within seconds; and against a server that left weighing on the sizes of those that stay.
-TEST(Weights, ASizeThatChangesInTheListIsFollowedAndOneThatLeftIsForgotten) {
+// Guards against a changed size that takes effect only at the server's next start: a server that grows must
+// get more of the new keys within seconds. Also guards against a removed server still counting in the mean
+// of sizes.
+TEST(Weights, AChangedSizeIsFollowedAndARemovedServersSizeIsForgotten) {
   Settings settings = AsideSettings(300);
   settings.weights = Weights::kNominal;
   Driver d(settings);
@@ -239,7 +240,7 @@
     list.push_back(Up(id));
     takes[static_cast<int>(id)] = milliseconds(30);
   }
-  const auto part = [&](int first_key) {  // of new keys, at server 0
+  const auto part = [&](int first_key) {  // share of new keys placed at server 0
     std::map<int, int> sent;
     for (int i = 0; i < 400; ++i) ++sent[d.Serve("k" + std::to_string(first_key + i), milliseconds(30))];
     return sent[0] / 400.0;
@@ -250,7 +251,7 @@
   d.List(ListKind::kAll, list);
   part(1000);
   EXPECT_GT(part(2000), 0.4);
-  // A giant comes and leaves: the four are held against their own mean again.
+  // A huge server is added and removed: then the four are compared with their own mean again.
   ServerEntry giant = Up(4);
   giant.scale = 1e6;
   d.List(ListKind::kChanges, {giant});
@@ -262,15 +263,14 @@
   EXPECT_LT(alone, 0.7);
 }
 
-// Guards against half a minute of equal weights after each restart: what was learnt of unequal servers, and
-// where keys had moved, is there from the first request on; and numbers that cannot be right change
-// nothing.
-TEST(Kept, WeightsAndHoldersAreTakenUpAgain) {
+// Guards against half a minute of equal weights after each restart: the weights of unequal servers and the
+// holders of moved keys apply from the first request on. Invalid numbers change nothing.
+TEST(Restore, WeightsAndHoldersAreRestored) {
   const auto [list, takes] = TwoKinds(true);
   Driver first(AsideSettings(300));
   first.List(ListKind::kRemembered, list);
   Sent(first, 400, seconds(24), takes);
-  const double learnt = FirstKind(Sent(first, 400, seconds(2), takes));
+  const double learned = FirstKind(Sent(first, 400, seconds(2), takes));
   const Kept kept = first.Keep();
   EXPECT_EQ(kept.servers.size(), 8u);
   EXPECT_EQ(kept.keys.size(), 400u);
@@ -289,13 +289,13 @@
   nonsense.origin = {NAN, -1, 1e300};
   wild.Recall(nonsense);
   const double without = FirstKind(Sent(blank, 400, seconds(1), takes));
-  EXPECT_NEAR(FirstKind(Sent(again, 400, seconds(1), takes)), learnt, 0.05);
-  EXPECT_GT(without, learnt + 0.1);
+  EXPECT_NEAR(FirstKind(Sent(again, 400, seconds(1), takes)), learned, 0.05);
+  EXPECT_GT(without, learned + 0.1);
   EXPECT_NEAR(FirstKind(Sent(wild, 400, seconds(1), takes)), without, 0.02);
 }
 
-// What was avoided is tried once, carefully, after the rest of its spell.
-TEST(Kept, AServerThatWasAvoidedIsTriedCarefully) {
+// A restored ejection lasts for its remaining time and is followed by a single trial.
+TEST(Restore, AnEjectedServerGetsASingleTrial) {
   Driver first(AsideSettings(2)), again(AsideSettings(2));
   for (Driver* d : {&first, &again}) d->SetServers(4);
   for (int i = 0; i < 400; ++i) {
@@ -319,10 +319,10 @@
   EXPECT_EQ(there, 1);
 }
 
-// Guards against a request at one router of 300 being taken for a full server: while one is out, keys,
-// mapped ones and new ones, mostly go where they go at a router that has none out. (Without weighing the
-// evidence more than two in five went elsewhere.)
-TEST(Weights, ARequestAtOneRouterOfHundredsMovesFewKeys) {
+// At one router of 300, a single outstanding request must not make a server look full: mapped and new keys
+// mostly go to the same server as at a router without one. (Without weighing the evidence more than two in
+// five went elsewhere.)
+TEST(Weights, OneOutstandingRequestAtOneRouterOfHundredsMovesFewKeys) {
   Driver d(AsideSettings(300)), idle(AsideSettings(300));
   for (Driver* at : {&d, &idle}) {
     at->SetServers(24);
@@ -336,7 +336,7 @@
     const std::string key = i % 2 ? "new" + std::to_string(i) : "k" + std::to_string(i % 20);
     const int home = idle.Serve(key, milliseconds(40));
     idle.Advance(milliseconds(1000));
-    // One is out at that very server.
+    // One request is outstanding at that server.
     int out = -1;
     for (int n = 0; n < 60 && out != home; ++n) out = d.Submit("out" + std::to_string(n * 31 + i), 0);
     d.Advance(milliseconds(40));
@@ -357,9 +357,9 @@
   EXPECT_LT(3 * moved, there);
 }
 
-// Guards against a storm that feeds itself: where next to nothing is served, most of what is asked is told
-// at once to come later, and all is let in again soon after the servers answer.
-TEST(Throttle, WhatIsAskedFarBeyondWhatIsServedIsRefusedAtOnceAndLetInAgainSoon) {
+// Guards against a self-sustaining overload: if almost nothing is served, most reads are refused at once,
+// and all are admitted again soon after the servers answer.
+TEST(Admission, ReadsFarBeyondCapacityAreRefusedAtOnceAndAdmittedAgainSoon) {
   Driver d(AsideSettings(2));
   d.SetServers(4);
   const auto ask = [&](Duration length, int answer_one_in) {
@@ -383,9 +383,9 @@
   EXPECT_LT(ask(seconds(4), 1), 0.05);
 }
 
-// Guards against cold servers left idle just when they are needed: what this second's answers show (after a
-// lull, or while warm servers drown) is no measure of what one bears.
-TEST(Throttle, AColdServersBudgetRestsOnWhatWarmOnesWereSeenToBear) {
+// Guards against cold servers left idle just when they are needed: the answers of the current second (after
+// a lull, or while warm servers are overloaded) do not show what a server sustains.
+TEST(Cold, TheBudgetFollowsTheRateThatWarmServersSustain) {
   Driver d(AsideSettings(2));
   d.SetServers(4);
   std::map<int, Duration> takes;
@@ -393,7 +393,7 @@
   Sent(d, 200, seconds(20), takes);
   d.Advance(seconds(8));
   d.List(ListKind::kChanges, {Up(9, d.now - seconds(10))});
-  const auto sent = Sent(d, 1 << 20, milliseconds(1500), takes);  // keys that nobody holds
+  const auto sent = Sent(d, 1 << 20, milliseconds(1500), takes);  // keys without a holder
   EXPECT_GT(sent.contains(9) ? sent.at(9) : 0, 42);
 }
 
