--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -1,5 +1,5 @@
-// The small parts of what is learnt: the origin's pace, the keys that stay in the own hall, the key table,
-// and the histogram of answer times.
+// Unit tests of the small classes: the origin's fetch limit, the own zone's share of keys, admission, the
+// key table, the histogram of answer times, and the delays of list calls.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// How many fetches it lets out at once.
+// The number of fetches that may start at once.
 int FetchesAllowed(OriginLimiter& p, Time now) {
   int n = 0;
   for (; p.MayFetch(now) && n < 10000; ++n) p.FetchStarted(now);
@@ -30,7 +30,7 @@
   return n;
 }
 
-TEST(OriginLimiter, FollowsWhatTheOriginBears) {
+TEST(OriginLimiter, TheLimitFollowsWhatTheOriginSustains) {
   OriginLimiter p;
   Time now = seconds(1);
   EXPECT_EQ(FetchesAllowed(p, now), 16);
@@ -38,7 +38,7 @@
     for (int i = 0; i < fetches; ++i) {
       now += milliseconds(200);
       int out = 0;
-      for (; p.MayFetch(now); ++out) p.FetchStarted(now);  // as many out as may be
+      for (; p.MayFetch(now); ++out) p.FetchStarted(now);  // as many as allowed
       if (out == 0) continue;
       p.FetchEnded();
       if (ok) p.RecordServed(took);
@@ -48,11 +48,11 @@
   };
   play(100, 0.1, true);
   EXPECT_FALSE(p.NearOverload());
-  play(40, 0.9, true);  // ninefold an unhurried one, and in time
+  play(40, 0.9, true);  // nine times the unqueued duration, but within the maximum
   EXPECT_TRUE(p.Overloaded());
   play(40, 1, false);
   EXPECT_TRUE(p.Overloaded());
-  // A part of the time, and never none: else nothing would tell that it is back.
+  // A share of the time, but never zero: otherwise nothing would show that the origin has recovered.
   EXPECT_EQ(FetchesAllowed(p, now), 0);
   now += seconds(2);
   EXPECT_EQ(FetchesAllowed(p, now), 1);
@@ -62,7 +62,7 @@
   EXPECT_GT(FetchesAllowed(p, now), 4);
 }
 
-TEST(OwnZoneShare, KeysCrossWhileTheOwnHallIsSlowerAndComeHomeAfterwards) {
+TEST(OwnZoneShare, FallsWhileTheOwnZoneIsSlowerAndRisesAfterwards) {
   OwnZoneShare h;
   Time now = seconds(1);
   const auto play = [&](int home_ms, int away_ms) {
@@ -79,14 +79,14 @@
   EXPECT_GT(h.value(), 0.9);
 }
 
-// A fleet that can give so many reads a second; what comes beyond that waits, without end, in a queue.
+// A fleet that answers `capacity` reads per second; further ones wait in an unbounded queue.
 struct Fleet {
   Admission admission;
   double capacity = 100;
   bool sheds = true;
   Time now = seconds(100);
   double queue = 0, in = 0, served = 0;
-  // The share of what was asked in that time that was answered within half a second.
+  // Returns the share of the reads submitted in that time that was answered within half a second.
   double Play(Duration length, double asked) {
     double in_time = 0, all = 0;
     for (const Time until = now + length; now < until; now += milliseconds(10)) {
@@ -107,8 +107,8 @@
   }
 };
 
-// Twice what can be served: half of it can be in time, and next to nothing is where all is let in.
-TEST(Admission, UnderAQueueItLetsInWhatIsServedAndAllOnceItIsGone) {
+// At twice the capacity half of the reads can be in time; if all are admitted, almost none is.
+TEST(Admission, AdmitsWhatIsServedWhileAQueueStandsAndAllOnceItIsGone) {
   for (const bool sheds : {false, true}) {
     Fleet f;
     f.sheds = sheds;
@@ -124,19 +124,20 @@
   }
 }
 
-TEST(Admission, AFewLateAnswersOrFailuresTurnNothingAway) {
+TEST(Admission, AFewLateAnswersOrFailuresRejectNothing) {
   Admission a;
   Time now = seconds(100);
   for (int i = 0; i < 4000; ++i) {
     now += milliseconds(50);
     a.RecordRead(now);
     a.RecordEnd(now);
-    if (i % 4 != 0) a.RecordAnswer(now, true, i % 10 == 0);  // a quarter fails, a tenth is late
+    if (i % 4 != 0)
+      a.RecordAnswer(now, true, i % 10 == 0);  // a quarter fails, and a tenth of the rest is late
     EXPECT_EQ(a.AdmittedShare(now), 1);
   }
 }
 
-TEST(KeyTable, IsBoundedAndForgetsTheLeastRecentlyUsed) {
+TEST(KeyTable, IsBoundedAndEvictsTheLeastRecentlyUsed) {
   KeyTable t;
   for (std::uint64_t key = 0; key < KeyTable::kMaxKeys; ++key)
     t.Touch(key, seconds(1)).holders.push_back({1, 0});
@@ -148,7 +149,7 @@
   EXPECT_TRUE(t.Find(KeyTable::kMaxKeys)->holders.empty());
 }
 
-TEST(AnswerTimes, WhatWasGivenUpCountsWithWhatCameLater) {
+TEST(AnswerTimes, AbandonedAttemptsCountWithLaterAnswers) {
   AnswerTimes t;
   for (int i = 0; i < 100; ++i) t.Add(milliseconds(i < 50 ? 20 : 200));
   const double before = t.ChanceWithin(milliseconds(50), milliseconds(400));
@@ -157,33 +158,33 @@
   EXPECT_LT(t.ChanceWithin(milliseconds(50), milliseconds(400)), 0.6 * before);
 }
 
-// Whatever the calls before came to, and one more after it: what discovery had when it could be reached is
-// heard within the time after which it counts as told.
-TEST(ListCalls, TellWithinTheirBoundWhateverCallsFailAndHowMany) {
+// Whatever the results of earlier calls, and with one more failure after discovery is reachable again, the
+// list is received within kTold.
+TEST(ListCalls, TheListIsReceivedInTimeHoweverManyCallsFail) {
   const brasswood::Limits limits;
   const Duration failures[] = {Duration(0), limits.call_up, limits.call_answer};
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937_64 random(seed);
-    const auto any = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+    const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
     Settings s;
     s.balancers = seed % 3 == 0 ? 300 : 3;
     s.list_agent = seed % 5 == 0;
     ListCalls calls(s);
     Time now = seconds(100), back;
     const bool swallowed = seed % 2 == 0;
-    if (swallowed) {  // it falls silent under a watch that has just begun, and goes on for others
+    if (swallowed) {  // it stops answering a watch that has just begun, but answers others
       calls.Told(now);
       back = now;
       now += limits.watch + limits.call_grace;
-    } else {  // it is gone for a while; the call that is out as it returns still comes to nothing
-      back = now + FromSeconds(20 * any());
-      now += calls.First(any());
+    } else {  // it is down for a while; the call in progress when it returns still fails
+      back = now + FromSeconds(20 * random_share());
+      now += calls.First(random_share());
       while (now < back) {
         now += failures[random() % 3];
-        now += calls.Again(now, any());
+        now += calls.Again(now, random_share());
       }
     }
-    now += calls.Again(now += failures[0], any());  // one that is refused, at the return or anew
+    now += calls.Again(now += failures[0], random_share());  // one more that is refused
     EXPECT_LE(now - back, ListCalls::kTold) << seed;
   }
 }
@@ -193,70 +194,70 @@
   Settings s;
   s.balancers = kRouters;
   std::mt19937_64 random(1);
-  const auto any = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
-  std::vector<int> calls(100);  // by tenth of a second
+  const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+  std::vector<int> calls(100);  // in each tenth of a second
   for (int router = 0; router < kRouters; ++router) {
     ListCalls own(s);
     Time now = seconds(0);
-    now += own.First(any());
+    now += own.First(random_share());
     while (now < seconds(10)) {
       ++calls[static_cast<std::size_t>(now / milliseconds(100))];
-      now += own.Again(now, any());
+      now += own.Again(now, random_share());
     }
   }
   EXPECT_LT(*std::max_element(calls.begin(), calls.end()), kRouters / 4);
   EXPECT_LT(std::accumulate(calls.begin(), calls.end(), 0), kRouters * 10);
 }
 
-// Discovery has room for a part of the calls of a fleet that starts together, those of the watches that
-// follow among them. No router hears its first word later than a change counts as told.
-TEST(ListCalls, AFleetAtADiscoveryShortOfRoomIsToldWhole) {
+// Discovery has capacity for only a part of the calls of a fleet that starts together, including the
+// watches that follow. Every router receives its first list within kTold.
+TEST(ListCalls, AllRoutersReceiveTheListFromADiscoveryWithLittleCapacity) {
   struct Case {
     int routers;
-    double room;  // calls a second
+    double capacity;  // calls per second
   };
   const brasswood::Limits limits;
-  for (const auto& [routers, room] : {Case{6, 5}, {10, 8}, {24, 20}, {40, 30}, {100, 75}, {300, 200}}) {
+  for (const auto& [routers, capacity] : {Case{6, 5}, {10, 8}, {24, 20}, {40, 30}, {100, 75}, {300, 200}}) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       std::mt19937_64 random(seed);
-      const auto any = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+      const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
       Settings s;
       s.balancers = routers;
       std::vector<ListCalls> own(static_cast<std::size_t>(routers), ListCalls(s));
-      std::vector<bool> told(own.size()), watching(own.size());
-      std::multimap<Time, std::size_t> next;  // who calls, or has its watch answered
-      for (std::size_t r = 0; r < own.size(); ++r) next.emplace(own[r].First(any()), r);
+      std::vector<bool> notified(own.size()), watching(own.size());
+      std::multimap<Time, std::size_t> next;  // the router that calls, or whose watch is answered
+      for (std::size_t r = 0; r < own.size(); ++r) next.emplace(own[r].First(random_share()), r);
       double left = 2;
       Time filled(0);
-      std::size_t to_tell = own.size();
-      while (to_tell > 0) {
+      std::size_t remaining = own.size();
+      while (remaining > 0) {
         const auto [now, r] = *next.begin();
         next.erase(next.begin());
-        if (watching[r]) own[r].Told(now);  // and calls again at once
+        if (watching[r]) own[r].Told(now);  // and calls again at once, for the next watch
         watching[r] = false;
-        left = std::min(std::max(1.0, room / 10), left + room * Seconds(now - filled));
+        left = std::min(std::max(1.0, capacity / 10), left + capacity * Seconds(now - filled));
         filled = now;
         if (left < 1) {
-          next.emplace(now + own[r].Again(now, any()), r);
+          next.emplace(now + own[r].Again(now, random_share()), r);
           continue;
         }
         left -= 1;
-        to_tell -= !told[r];
-        if (!told[r]) {
+        remaining -= !notified[r];
+        if (!notified[r]) {
           own[r].Told(now);
           next.emplace(now, r);
         } else {
           watching[r] = true;
-          next.emplace(now + limits.watch - FromSeconds(Seconds(limits.watch_spread) * any()), r);
+          next.emplace(now + limits.watch - FromSeconds(Seconds(limits.watch_spread) * random_share()), r);
         }
-        told[r] = true;
+        notified[r] = true;
         ASSERT_LE(now, ListCalls::kTold) << routers << " routers, seed " << seed;
       }
     }
   }
 }
 
-TEST(ListCalls, AnAgentOfOnesOwnIsCalledAtOnceAndAgainWellWithinADrainsGrace) {
+TEST(ListCalls, ALocalAgentIsCalledAtOnceAndAgainWithinTheDrainGrace) {
   Settings s;
   s.balancers = 300;
   s.list_agent = true;
