--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -1,6 +1,12 @@
-// The decision module inside: one class, its parts by concern in the files beside this one. load.cpp: load
-// and cold budgets; health.cpp: whom to avoid; silence.cpp: what to take back; choose.cpp: the LARD choice;
-// gate.cpp: the rules; attempts.cpp: requests; learn.cpp: what answers tell; list.cpp: the server list.
+// The implementation of Balancer: one class, implemented by concern in the files of this folder.
+//   load.cpp      load estimates and the budgets of cold servers
+//   health.cpp    outlier detection, ejection and zone outages
+//   silence.cpp   unresponsive servers and overdue attempts
+//   choose.cpp    server choice (LARD)
+//   gate.cpp      the rules that every send passes, admission, and the end of requests
+//   attempts.cpp  the life of a request: sends, holds, outcomes, timers
+//   learn.cpp     what outcomes teach about servers, keys, the origin and retries
+//   list.cpp      the server list
 #ifndef BEECHLEDGE_CHOICE_CORE_H_
 #define BEECHLEDGE_CHOICE_CORE_H_
 
@@ -31,142 +37,153 @@
  public:
   Core(const Settings& settings, std::uint64_t seed);
   void Handle(Time now, const Event& event, Actions& out);
-  Kept Keep(Time now, std::size_t most_keys) const;
-  void Recall(Time now, const Kept& kept, double faith);
+  Kept Keep(Time now, std::size_t max_keys) const;
+  void Recall(Time now, const Kept& kept, double confidence);
   bool Avoids(ServerId id) const;
   std::size_t Avoided() const;
 
  private:
-  // ---- Load: the smoothed own in-flight, and a share of what the server reports ----
+  // ---- Load: the smoothed in-flight count, and this instance's share of reported load ----
   double RawLoad(const Server& s) const;
-  void TakeReport(Server& s, const LoadReport& report);
-  void CountInflight(Server& s, int change);
-
-  // ---- Cold servers: a budget of sends from the start on, kept by this instance alone ----
-  bool Cold(const Server& s) const { return s.started > Time(0) && now_ - s.started < set_.rules.ramp; }
-  double LookRate() const;
-  // What a warm one is seen to bear. Guards against cold servers left idle just as warm ones drown: those
-  // then answer few, and a budget in proportion to that would fall with them.
-  double BorneRate() const { return std::max(LookRate(), borne_.Read(now_, kBorneTau, LookRate())); }
-  double ColdShare(const Server& s) const;
-  // What a cold server may be sent, of what a warm one is.
-  double ColdBudget(const Server& s) const { return kColdMargin * set_.rules.fall_multiple * ColdShare(s); }
-  void FillCold(Server& s) const;
-  bool ColdRoom(Server& s) const;
-
-  // ---- Health: outcomes against those of the peers ----
-  void Judge(Server& s, bool failed, bool hard, bool astray = false);
+  void ApplyReport(Server& s, const LoadReport& report);
+  void AdjustInflight(Server& s, int change);
+
+  // ---- Cold servers: a token bucket for each, without coordination between instances ----
+  bool IsCold(const Server& s) const {
+    return s.started > Time(0) && now_ - s.started < settings_.rules.ramp;
+  }
+  double SampleRate() const;
+  // The rate that a warm server has been seen to sustain: the higher of the current rate and its recent
+  // average. Overloaded warm servers answer few requests; with the current rate alone the budgets of cold
+  // servers would fall with it and leave them idle just when they are needed.
+  double SustainedRate() const {
+    return std::max(SampleRate(), sustained_answers_.Read(now_, kSustainedTau, SampleRate()));
+  }
+  double RampFraction(const Server& s) const;
+  // The rate that a cold server may be sent, relative to that of a warm one.
+  double ColdBudget(const Server& s) const {
+    return kColdMargin * settings_.rules.fall_multiple * RampFraction(s);
+  }
+  void RefillColdTokens(Server& s) const;
+  bool HasColdToken(Server& s) const;
+
+  // ---- Health: a server's outcomes compared with those of its peers ----
+  void RecordHealth(Server& s, bool failed, bool connect_failed, bool lost_in_transit = false);
   void Eject(Server& s);
-  // The least patience that an aim leaves. (A fixed time was longer than the whole aim where all is quick.)
-  static Duration PatienceFrom(Duration aim) {
-    return aim > Duration(0) ? FromSeconds(kPatienceShare * Seconds(aim)) : kSilentLeast;
+  // The minimum time to wait for an answer. It scales with the aim: a fixed time exceeded the whole aim of
+  // fast classes.
+  static Duration MinPatience(Duration aim) {
+    return aim > Duration(0) ? FromSeconds(kMinPatienceShare * Seconds(aim)) : kMinPatienceNoAim;
   }
-  void FindSilent();
-  double RetryRoom() const;
-  void TakeBack(ServerId id);
-  void FindOverdue();
-  Time LastUse(const Request& r) const;
-
-  // ---- Halls: a whole one that falls silent is told from a server in trouble ----
-  bool HallLost(const Server& s) const { return !IsOrigin(s) && halls_.Lost(s.zone); }
-  void HearHall(Server& s, bool answered);
+  void EjectUnresponsive();
+  double RemainingRetryBudget() const;
+  void CancelAttemptsAt(ServerId id);
+  void CancelOverdue();
+  Time LatestUsefulTime(const Request& r) const;
+
+  // ---- Zones: the outage of a whole zone is distinguished from failures of single servers ----
+  bool ZoneDown(const Server& s) const { return !IsOrigin(s) && zones_.Down(s.zone); }
+  void RecordZoneResult(Server& s, bool answered);
   bool Healthy(const Server& s) const;
 
   // ---- The LARD choice ----
   bool IsOrigin(const Server& s) const {
-    return set_.origin == Origin::kAside && set_.origin_kind >= 0 && s.kind == set_.origin_kind;
+    return settings_.origin == Origin::kAside && settings_.origin_kind >= 0 &&
+           s.kind == settings_.origin_kind;
   }
   static double CostBalancing(double load);
   static double CostLocality(bool mapped) { return mapped ? 1 : kMissCost; }
   static double CostReplacement(double load, bool mapped);
   static const Holder* FindHolder(const KeyTable::Entry* entry, ServerId id, const Server& s);
-  bool StaysHome(std::uint64_t key) const;
-  void LearnPace(const Server& s, Duration took) {
-    if (!IsOrigin(s)) home_share_.Learn(now_, s.zone == set_.zone, took);
+  bool PrefersOwnZone(std::uint64_t key) const;
+  void LearnZoneLatency(const Server& s, Duration took) {
+    if (!IsOrigin(s)) own_zone_share_.Learn(now_, s.zone == settings_.zone, took);
   }
-  static double Order(std::uint64_t key, const Server& s);
-  int Home(const Request& r, const KeyTable::Entry* entry, bool sampled) const;
-  double Weighed(const Server& s, double load) const;
-  int Choose(const Request& r, bool spare_ejected);
-  void Join(KeyTable::Entry& entry, ServerId id);
+  static double RendezvousRank(std::uint64_t key, const Server& s);
+  int RelocationTarget(const Request& r, const KeyTable::Entry* entry, bool own_zone) const;
+  double EvidenceWeightedLoad(const Server& s, double load) const;
+  int Choose(const Request& r, bool allow_ejected);
+  void AddHolder(KeyTable::Entry& entry, ServerId id);
 
-  // ---- The gate: every send passes here, and each of the rules is kept here ----
+  // ---- The gate: every send passes here, and all rules are enforced here ----
   const RequestClass& ClassOf(const Request& r) const;
   bool Allowed(const Request& r, ServerId id) const;
   bool TrySend(Request& r, ServerId id, bool fetch);
   bool MayRefuse(const Request& r) const;
-  bool Throttled(const Request& r);
-  Duration ComeBack(const Request& r);
-  Duration MostHeld(const Request& r) const;
-  void Finish(Request& r) {
-    if (!std::exchange(r.ended, true)) admission_.Ended(now_);
+  bool ShouldShed(const Request& r);
+  Duration RetryAfter(const Request& r);
+  Duration MaxHoldTime(const Request& r) const;
+  void MarkEnded(Request& r) {
+    if (!std::exchange(r.ended, true)) admission_.RecordEnd(now_);
   }
-  void End(Request& r);
+  void EndRequest(Request& r);
 
   // ---- Attempts ----
   void Dispatch(Request& r);
-  bool FetchRoom(const KeyTable::Entry* entry) const;
-  bool FetchDue(const Request& r);
+  bool MayFetch(const KeyTable::Entry* entry) const;
+  bool HeldFetchReady(const Request& r);
   bool SendTo(Request& r, ServerId id);
-  bool AskOrigin(Request& r);
+  bool SendToOrigin(Request& r);
   void Hold(Request& r);
   void ReleaseHeld();
   void SetRequestTimer(TimerKind kind, RequestId id, Time at);
-  void Forget(std::unordered_map<RequestId, Request>::iterator it) {
-    if (it->second.ended && it->second.out == 0) requests_.erase(it);
+  void EraseIfDone(std::unordered_map<RequestId, Request>::iterator it) {
+    if (it->second.ended && it->second.outstanding == 0) requests_.erase(it);
   }
-  void On(const NewRequest& e);
-  void On(const ClientGone& e);
-  void On(const Outcome& e);
-  void LearnFetch(const Request& r, const Attempt& a, const Outcome& e);
-  void LearnAgain(const Request& r, const Attempt& a, Result result);
-  void Learn(Server& s, const Request& r, const Attempt& a, const Outcome& e);
-  void Continue(Request& r, Result result);
-  void On(const FirstByte& e);
-  void On(const ProbeResult& e);
-  void On(const PeerMessage&) {}
-  void On(const TimerFired& e);
+  void HandleEvent(const NewRequest& e);
+  void HandleEvent(const ClientGone& e);
+  void HandleEvent(const Outcome& e);
+  void LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e);
+  void LearnRetryResult(const Request& r, const Attempt& a, Result result);
+  void LearnServerResult(Server& s, const Request& r, const Attempt& a, const Outcome& e);
+  void RetryOrEnd(Request& r, Result result);
+  void HandleEvent(const FirstByte& e);
+  void HandleEvent(const ProbeResult& e);
+  void HandleEvent(const PeerMessage&) {}
+  void HandleEvent(const TimerFired& e);
 
   // ---- The server list ----
-  void On(const ServerList& e);
-  void Take(const ServerEntry& entry);
-  double StatedSize(const ServerEntry& entry) const;
-  void Recount();
-  void AskIn(Duration wait);
-  void Ask();
+  void HandleEvent(const ServerList& e);
+  void ApplyEntry(const ServerEntry& entry);
+  double ListedSize(const ServerEntry& entry) const;
+  void RebuildUpServers();
+  void ScheduleListCall(Duration wait);
+  void SubscribeToList();
   double Uniform() { return Unit(random_()); }
 
-  Settings set_;
+  Settings settings_;
   std::mt19937_64 random_;
-  Time now_{0}, began_{0};
+  Time now_{0}, first_event_{0};
   Actions* out_ = nullptr;
-  std::vector<Server> servers_;         // by ServerId
-  std::vector<ServerId> up_;            // those listed as up
-  std::vector<double> loads_, orders_;  // scratch of Choose; an order counts where a load is set
-  Halls halls_;
+  std::vector<Server> servers_;        // by ServerId
+  std::vector<ServerId> up_servers_;   // those listed as up
+  std::vector<double> loads_, ranks_;  // scratch of Choose; a rank is valid where the load is not negative
+  ZoneHealth zones_;
   Duration longest_aim_{0};
-  double mean_worth_ = 0;  // of the reads asked lately; 0: none yet
-  int warm_ = 1;
-  std::size_t origins_ = 0;
-  double fleet_failure_ = 0;
-  bool holder_busy_ = false;  // of the last choice: a holder stood at L_idle or above
-  Paces paces_;
-  KeyTable keys_;
+  double mean_worth_ = 0;  // of recent reads; 0: none yet
+  int warm_servers_ = 1;
+  std::size_t origin_count_ = 0;
+  double fleet_failure_share_ = 0;
+  bool holder_busy_ = false;  // in the last choice a holder's load was L_idle or more
+  ServerLatencies latencies_;
+  KeyTable key_table_;
   std::unordered_map<RequestId, Request> requests_;
-  std::vector<RequestId> held_;
+  std::vector<RequestId> held_requests_;
   std::unordered_map<std::uint64_t, std::pair<TimerKind, RequestId>> timers_;
   std::uint64_t last_token_ = 0;
-  Times times_;
-  double typical_ = 0.05;  // seconds of a usual answer
+  AnswerTimes answer_times_;
+  double typical_seconds_ = 0.05;  // smoothed latency of answers
   double retry_tokens_ = kRetryBurst;
-  HomeShare home_share_;
-  double again_helps_ = 0.9;  // share of overdue attempts whose next one was answered in time
+  OwnZoneShare own_zone_share_;
+  double retry_success_share_ =
+      0.9;  // share of cancelled overdue attempts whose retry was answered in time
   Admission admission_;
-  Smoothed borne_, served_;  // answers, decaying: over kRateTau the rate
-  OriginPace origin_pace_;
+  Smoothed sustained_answers_;  // average of SampleRate over kSustainedTau
+  Smoothed answers_;            // decaying count of answers; divided by kRateTau it is a rate
+  OriginLimiter origin_limiter_;
   Startup startup_;
   ListCalls list_calls_;
-  bool attached_ = false, asked_ = false, held_timer_ = false, watching_ = false;
+  bool list_received_ = false, subscribed_ = false, held_timer_set_ = false, watch_timer_set_ = false;
 };
 
 }  // namespace beechledge
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -1,39 +1,39 @@
-// The server list: who is there, since when, and when to ask again.
+// The server list: applies updates and schedules the calls to discovery.
 #include "choice/core.h"
 
 namespace beechledge {
 
-void Balancer::Core::On(const ServerList& e) {
-  const bool first = !attached_;
-  attached_ = true;
+void Balancer::Core::HandleEvent(const ServerList& e) {
+  const bool first = !list_received_;
+  list_received_ = true;
   startup_.Listed(e.kind, e.old);
   if (e.kind == ListKind::kRefused) {
-    asked_ = false;
-    AskIn(list_calls_.Again(now_, Uniform()));
+    subscribed_ = false;
+    ScheduleListCall(list_calls_.Again(now_, Uniform()));
   } else {
     if (e.kind == ListKind::kAll || e.kind == ListKind::kRemembered) {
       for (Server& s : servers_) s.listed = false;
     }
-    for (const ServerEntry& entry : e.entries) Take(entry);
+    for (const ServerEntry& entry : e.entries) ApplyEntry(entry);
     for (ServerId id = 0; id < servers_.size(); ++id) {
       if (servers_[id].listed) continue;
       servers_[id].availability = Availability::kRemoved;
-      paces_.Remove(id);  // else the mean of the sizes would go on counting it
+      latencies_.Remove(id);  // otherwise it would still count in the mean of the sizes
     }
-    Recount();
+    RebuildUpServers();
     if (e.kind != ListKind::kRemembered) list_calls_.Told(now_);
   }
-  if (first && set_.list_must_be_asked) AskIn(list_calls_.First(Uniform()));
+  if (first && settings_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
 }
 
-void Balancer::Core::Take(const ServerEntry& entry) {
+void Balancer::Core::ApplyEntry(const ServerEntry& entry) {
   if (entry.id >= servers_.size()) servers_.resize(entry.id + 1);
   Server& s = servers_[entry.id];
   const std::uint64_t hash = StableHash(entry.name);
-  if (s.hash != 0 && s.hash != hash) {      // another server under the id of one that is gone
-    const std::uint32_t life = s.life + 1;  // the keys that the old one held are not its own
+  if (s.hash != 0 && s.hash != hash) {                    // the id has been reused for another server
+    const std::uint32_t incarnation = s.incarnation + 1;  // it holds none of the keys of its predecessor
     s = {};
-    s.life = life;
+    s.incarnation = incarnation;
   }
   s.hash = hash;
   s.listed = entry.availability != Availability::kRemoved;
@@ -41,48 +41,52 @@
   s.kind = entry.kind;
   s.cell = entry.cell;
   s.availability = entry.availability;
-  if (s.stated != entry.started || !s.known) {
-    paces_.Place(entry.id, s.kind, s.zone, StatedSize(entry));
+  if (s.listed_start != entry.started || !s.known) {
+    latencies_.Add(entry.id, s.kind, s.zone, ListedSize(entry));
   } else {
-    paces_.Resize(entry.id, StatedSize(entry));
+    latencies_.SetSize(entry.id, ListedSize(entry));
   }
   s.known = true;
-  if (s.stated != entry.started) {
-    s.stated = entry.started;
-    // Guards against a start that lies ahead, by a clock that is wrong: it would stay cold until then.
+  if (s.listed_start != entry.started) {
+    s.listed_start = entry.started;
+    // A start in the future (a wrong clock) is treated as now; otherwise the server would stay cold until
+    // then.
     s.started = std::min(entry.started, now_);
-    ++s.life;
+    ++s.incarnation;
     s.ejected = false;
     s.failure_share = 0;
     s.failure_streak = 0;
-    s.crowded_until = Time(0);
-    HearHall(s, true);
-    s.cold_tokens = Uniform();  // a random start spreads the first sends of many instances over time
+    s.close_idle_until = Time(0);
+    RecordZoneResult(s, true);
+    s.cold_tokens = Uniform();  // random, so that many instances do not send their first request at once
     s.cold_at = now_;
   }
 }
 
-// Sizes that vary with the load of the moment say nothing that lasts.
-double Balancer::Core::StatedSize(const ServerEntry& entry) const {
-  return set_.weights == Weights::kNominal || set_.weights == Weights::kRough ? entry.scale : 0;
+// The stated size, or 0 if it varies with the current load and so says nothing lasting about capacity.
+double Balancer::Core::ListedSize(const ServerEntry& entry) const {
+  return settings_.weights == Weights::kNominal || settings_.weights == Weights::kRough ? entry.scale : 0;
 }
 
-void Balancer::Core::Recount() {
-  up_.clear();
-  origins_ = 0;
+// Recomputes the set of servers that are up, and dispatches held requests.
+void Balancer::Core::RebuildUpServers() {
+  up_servers_.clear();
+  origin_count_ = 0;
   for (ServerId id = 0; id < servers_.size(); ++id) {
     if (servers_[id].availability != Availability::kUp) continue;
-    up_.push_back(id);
-    origins_ += IsOrigin(servers_[id]);
+    up_servers_.push_back(id);
+    origin_count_ += IsOrigin(servers_[id]);
   }
-  if (!held_.empty()) ReleaseHeld();
+  if (!held_requests_.empty()) ReleaseHeld();
 }
 
-void Balancer::Core::AskIn(Duration wait) { SetRequestTimer(TimerKind::kAsk, 0, now_ + wait); }
+void Balancer::Core::ScheduleListCall(Duration wait) {
+  SetRequestTimer(TimerKind::kListCall, 0, now_ + wait);
+}
 
-void Balancer::Core::Ask() {
-  if (asked_) return;
-  asked_ = true;
+void Balancer::Core::SubscribeToList() {
+  if (subscribed_) return;
+  subscribed_ = true;
   out_->push_back(Subscribe{true});
 }
 
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -1,4 +1,4 @@
-// A scripted clock and host for tests of the module: it feeds events and keeps the actions.
+// A scripted clock and host for tests of the module: passes it events and records its actions.
 #ifndef BEECHLEDGE_TESTS_DRIVER_H_
 #define BEECHLEDGE_TESTS_DRIVER_H_
 
@@ -57,8 +57,8 @@
   explicit Driver(Settings settings = PlainSettings(), std::uint64_t seed = 1)
       : balancer_(settings, seed) {}
 
-  // Moves the clock, firing timers that fall due on the way.
-  void To(Time t) {
+  // Advances the clock, firing the timers that become due.
+  void AdvanceTo(Time t) {
     while (!timers_.empty() && timers_.begin()->first <= t) {
       const auto [at, token] = *timers_.begin();
       timers_.erase(timers_.begin());
@@ -67,7 +67,7 @@
     }
     now = std::max(now, t);
   }
-  void Pass(Duration d) { To(now + d); }
+  void Advance(Duration d) { AdvanceTo(now + d); }
 
   void Feed(const Event& e) {
     Actions out;
@@ -78,7 +78,7 @@
       } else if (const auto* refuse = std::get_if<Refuse>(&a)) {
         refused.push_back(refuse->id);
         refused_at.push_back(now);
-        come_back.push_back(refuse->retry_after);
+        retry_after.push_back(refuse->retry_after);
       } else if (const auto* fail = std::get_if<Fail>(&a)) {
         failed.push_back(fail->id);
       } else if (const auto* timer = std::get_if<SetTimer>(&a)) {
@@ -93,19 +93,19 @@
     }
   }
 
-  Kept Keep(std::size_t most_keys = 1000) const { return balancer_.Keep(now, most_keys); }
+  Kept Keep(std::size_t max_keys = 1000) const { return balancer_.Keep(now, max_keys); }
   bool Avoids(ServerId server) const { return balancer_.Avoids(server); }
-  void Recall(const Kept& kept, double faith = 1) { balancer_.Recall(now, kept, faith); }
+  void Recall(const Kept& kept, double confidence = 1) { balancer_.Recall(now, kept, confidence); }
 
   void List(ListKind kind, std::vector<ServerEntry> entries) { Feed(ServerList{kind, std::move(entries)}); }
-  void Servers(ServerId n) {
+  void SetServers(ServerId n) {
     std::vector<ServerEntry> entries;
     for (ServerId id = 0; id < n; ++id) entries.push_back(Up(id));
     List(ListKind::kRemembered, entries);
   }
 
-  // Asks, and returns the server it was sent to at once; -1 when none.
-  int Ask(const std::string& key, int request_class = 0, Duration ttl = seconds(1), bool write = false) {
+  // Submits a request and returns the server that it was sent to at once; -1: none.
+  int Submit(const std::string& key, int request_class = 0, Duration ttl = seconds(1), bool write = false) {
     NewRequest r;
     r.id = ++last_id;
     r.request_class = request_class;
@@ -116,7 +116,7 @@
     Feed(r);
     return sends.size() > before ? static_cast<int>(sends.back().send.server) : -1;
   }
-  void Ends(RequestId id, int attempt, Result result, Duration latency = milliseconds(20)) {
+  void EndAttempt(RequestId id, int attempt, Result result, Duration latency = milliseconds(20)) {
     for (const Sent& s : sends) {
       if (s.send.id == id && s.attempt == attempt) {
         Outcome o;
@@ -132,19 +132,19 @@
       }
     }
   }
-  // Ends all that is out.
+  // Ends all outstanding attempts.
   void AnswerAll(Result result = Result::kOk) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       const auto [id, attempt] = std::pair(sends[i].send.id, sends[i].attempt);
-      if (!concluded.contains({id, attempt})) Ends(id, attempt, result);
+      if (!concluded.contains({id, attempt})) EndAttempt(id, attempt, result);
     }
   }
   // One request from its arrival to its answer.
   int Serve(const std::string& key, Duration takes = milliseconds(20)) {
-    const int server = Ask(key);
+    const int server = Submit(key);
     const RequestId id = last_id;
-    Pass(takes);
-    Ends(id, 0, Result::kOk, takes);
+    Advance(takes);
+    EndAttempt(id, 0, Result::kOk, takes);
     return server;
   }
 
@@ -160,9 +160,9 @@
   std::set<std::pair<RequestId, int>> concluded;
   std::vector<RequestId> refused, failed;
   std::vector<Time> refused_at, subscribed;
-  std::vector<Duration> come_back;
+  std::vector<Duration> retry_after;
   std::vector<std::pair<RequestId, int>> cancelled;
-  std::vector<ServerId> closed;  // whose idle connections were given back
+  std::vector<ServerId> closed;  // servers whose idle connections were closed
 
  private:
   Balancer balancer_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,4 @@
-// The four rules, each kept by one instance alone.
+// The four rules (answers, effects, drains, cold servers), as one instance enforces them.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,33 +11,33 @@
 
 TEST(Answers, EachRequestEndsByItsDeadline) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a", 0, milliseconds(400));
+  d.SetServers(3);
+  d.Submit("a", 0, milliseconds(400));
   const RequestId id = d.last_id;
-  d.Pass(milliseconds(399));
+  d.Advance(milliseconds(399));
   EXPECT_TRUE(d.refused.empty() && d.failed.empty());
-  d.Pass(milliseconds(2));
+  d.Advance(milliseconds(2));
   EXPECT_EQ(d.refused, std::vector<RequestId>{id});
 }
 
-TEST(Answers, WithoutServersARequestIsHeldAndThenEnded) {
+TEST(Answers, WithoutServersARequestIsHeldUntilItEnds) {
   Driver d;
   d.List(ListKind::kRemembered, {});
-  EXPECT_EQ(d.Ask("a"), -1);
-  d.Pass(milliseconds(200));
+  EXPECT_EQ(d.Submit("a"), -1);
+  d.Advance(milliseconds(200));
   d.List(ListKind::kChanges, {Up(0)});
   EXPECT_EQ(d.sends.size(), 1u);
-  d.Pass(seconds(2));
+  d.Advance(seconds(2));
   EXPECT_EQ(d.refused.size() + d.failed.size(), 1u);
 }
 
-TEST(Answers, NothingGoesOutAfterTheEnd) {
+TEST(Answers, NothingIsSentAfterARequestHasEnded) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a");
+  d.SetServers(3);
+  d.Submit("a");
   d.Feed(ClientGone{d.last_id});
-  d.Ends(d.last_id, 0, Result::kError);
-  d.Pass(seconds(3));
+  d.EndAttempt(d.last_id, 0, Result::kError);
+  d.Advance(seconds(3));
   EXPECT_EQ(d.sends.size(), 1u);
   EXPECT_TRUE(d.refused.empty() && d.failed.empty());
 }
@@ -45,74 +45,74 @@
 TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherResentNorRefused) {
   for (const Result result : {Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled}) {
     Driver d;
-    d.Servers(3);
-    d.Ask("a", 1);
-    d.Ends(d.last_id, 0, result);
-    d.Pass(seconds(3));
+    d.SetServers(3);
+    d.Submit("a", 1);
+    d.EndAttempt(d.last_id, 0, result);
+    d.Advance(seconds(3));
     EXPECT_EQ(d.sends.size(), 1u);
     EXPECT_TRUE(d.refused.empty());
     EXPECT_EQ(d.failed.size(), 1u);
   }
 }
 
-TEST(Effects, AnUnsafeRequestThatNeverRanIsTriedAgain) {
+TEST(Effects, AnUnsafeRequestThatDidNotRunIsRetried) {
   Driver d;
-  d.Servers(3);
-  d.Ask("a", 1);
-  d.Ends(d.last_id, 0, Result::kConnectFailed);
+  d.SetServers(3);
+  d.Submit("a", 1);
+  d.EndAttempt(d.last_id, 0, Result::kConnectFailed);
   ASSERT_EQ(d.sends.size(), 2u);
   EXPECT_NE(d.sends[0].send.server, d.sends[1].send.server);
 }
 
-TEST(Effects, AKeyedRequestStaysInItsGroupAndWindow) {
+TEST(Effects, AKeyedRequestIsRetriedOnlyInItsGroupAndWindow) {
   Settings s = PlainSettings();
   Driver d(s);
   std::vector<ServerEntry> entries;
   for (ServerId id = 0; id < 8; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
   d.List(ListKind::kRemembered, entries);
   for (int i = 0; i < 20; ++i) {
-    const int first = d.Ask("k" + std::to_string(i), 2);
-    d.Ends(d.last_id, 0, Result::kReset);
+    const int first = d.Submit("k" + std::to_string(i), 2);
+    d.EndAttempt(d.last_id, 0, Result::kReset);
     EXPECT_EQ(d.sends.back().send.server % 2, static_cast<ServerId>(first % 2));
-    d.Pass(milliseconds(310));
+    d.Advance(milliseconds(310));
     const std::size_t before = d.sends.size();
-    d.Ends(d.last_id, 1, Result::kReset);
-    EXPECT_EQ(d.sends.size(), before);  // past the window
-    d.Pass(seconds(2));
+    d.EndAttempt(d.last_id, 1, Result::kReset);
+    EXPECT_EQ(d.sends.size(), before);  // after the window
+    d.Advance(seconds(2));
   }
 }
 
-TEST(Effects, NoTwoAttemptsAtOnceWhereNotAllowed) {
+TEST(Effects, NoParallelAttemptsUnlessAllowed) {
   Driver d;  // parallel_tries is off
-  d.Servers(3);
+  d.SetServers(3);
   for (int i = 0; i < 50; ++i) d.Serve("a" + std::to_string(i));
   const std::size_t before = d.sends.size();
-  d.Ask("slow");
-  d.Pass(milliseconds(900));
+  d.Submit("slow");
+  d.Advance(milliseconds(900));
   EXPECT_EQ(d.sends.size(), before + 1);
 }
 
-TEST(Drains, ADrainingServerGetsNothing) {
+TEST(Drains, ADrainingServerGetsNoRequests) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   ServerEntry draining = Up(0);
   draining.availability = Availability::kDraining;
   d.List(ListKind::kChanges, {draining});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(d.Serve("k" + std::to_string(i)), 1);
 }
 
-TEST(Drains, AServerLeftOutOfAWholeListIsGone) {
+TEST(Drains, AServerMissingFromACompleteListIsRemoved) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   d.List(ListKind::kAll, {Up(1)});
   for (int i = 0; i < 50; ++i) EXPECT_EQ(d.Serve("k" + std::to_string(i)), 1);
 }
 
-// The sends of one instance to a cold server stay within its share of multiple x capacity x window, where
-// the capacity is at least what it sends a warm one.
-TEST(Cold, AColdServerIsNotPushedOver) {
+// One instance's sends to a cold server stay within its share of multiple x capacity x window, where the
+// capacity is at least the rate that it sends to a warm server.
+TEST(Cold, AColdServerStaysWithinItsBudget) {
   Driver d;
-  d.Servers(4);
+  d.SetServers(4);
   for (int i = 0; i < 2000; ++i) d.Serve("w" + std::to_string(i), milliseconds(5));
   const Time start = d.now;
   d.List(ListKind::kChanges, {Up(9, start)});
@@ -133,25 +133,26 @@
                                  [&](Time t) { return t >= from && t < from + milliseconds(1500); });
     EXPECT_LE(static_cast<double>(n), 3 * share * warm_rate * 1.5 + 1) << "at age " << age;
   }
-  EXPECT_GT(cold.size(), 100u);  // and it is used
+  EXPECT_GT(cold.size(), 100u);  // and the cold server is used
 }
 
-TEST(Cold, AnInstanceThatKnowsLittleSendsNextToNothing) {
+TEST(Cold, AnInstanceWithoutSamplesSendsAlmostNothing) {
   Driver d;
   d.List(ListKind::kRemembered, {Up(0), Up(1), Up(2, d.now - seconds(1))});
   int cold = 0;
-  for (int i = 0; i < 20; ++i) cold += d.Ask("k" + std::to_string(i)) == 2;
+  for (int i = 0; i < 20; ++i) cold += d.Submit("k" + std::to_string(i)) == 2;
   EXPECT_LE(cold, 1);
 }
 
-// Lists that cannot be right: each has an outcome, and no request is lost by it.
+// Invalid lists: each is handled, and no request is lost.
 TEST(Lists, AStartInTheFutureCountsAsNow) {
   Driver d;
-  d.Servers(2);
+  d.SetServers(2);
   ServerEntry ahead = Up(2, d.now + seconds(3600));
   d.List(ListKind::kChanges, {ahead});
-  for (int round = 0; round < 30; ++round) {  // warm after its ramp of 20 s, however often it is told
-    d.Pass(seconds(1));
+  for (int round = 0; round < 30;
+       ++round) {  // warm after its ramp of 20 s, however often the list is repeated
+    d.Advance(seconds(1));
     d.List(ListKind::kChanges, {ahead});
     for (int i = 0; i < 20; ++i) d.Serve("k" + std::to_string(i), milliseconds(5));
   }
@@ -163,13 +164,13 @@
   EXPECT_GT(after - before, 40u);
 }
 
-TEST(Lists, JumpingStartsEmptyListsAndUnknownServersLoseNothing) {
+TEST(Lists, InvalidListsLoseNoRequests) {
   for (const int balancers : {-1, 0, 1, 100, INT32_MAX}) {
     Settings s = PlainSettings();
     s.balancers = balancers;
     s.list_must_be_asked = true;
     Driver d(s);
-    d.Servers(4);
+    d.SetServers(4);
     std::mt19937_64 random(7);
     std::size_t asked = 0, served = 0;
     for (int i = 0; i < 300; ++i) {
@@ -191,31 +192,31 @@
           d.List(ListKind::kRefused, {});
           break;
         default:
-          d.Servers(4);
+          d.SetServers(4);
       }
       ++asked;
-      d.Ask("k" + std::to_string(i % 9));
-      d.Pass(milliseconds(20));
+      d.Submit("k" + std::to_string(i % 9));
+      d.Advance(milliseconds(20));
       d.AnswerAll();
-      d.Pass(milliseconds(30));
+      d.Advance(milliseconds(30));
     }
-    d.Pass(seconds(3));
+    d.Advance(seconds(3));
     d.AnswerAll();
     for (const auto& sent : d.sends) served += d.concluded.contains({sent.send.id, sent.attempt});
     EXPECT_EQ(served + d.refused.size() + d.failed.size(), asked) << balancers;
     EXPECT_GT(served, asked / 3) << balancers;
-    EXPECT_LT(d.subscribed.size(), 40u) << balancers;  // and no storm of calls
+    EXPECT_LT(d.subscribed.size(), 40u) << balancers;  // and calls to discovery stay few
   }
 }
 
-// Random legal histories at several settings, checked from outside with a ledger of their own.
+// Random valid histories under several settings, checked against an independent record.
 TEST(Property, RandomHistoriesKeepTheRules) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 random(seed);
     const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     Settings s = PlainSettings();
     s.allowed.parallel_tries = seed % 2 == 0;
-    s.balancers = seed % 3 == 0 ? 0 : 20;  // 0 is absurd, and must do no harm
+    s.balancers = seed % 3 == 0 ? 0 : 20;  // 0 is invalid, and must do no harm
     s.classes[2].group = seed % 3 == 1 ? Group::kAll : Group::kZone;
     if (seed % 5 == 0) {
       s.origin = Origin::kAside;
@@ -233,19 +234,19 @@
       if (pick(2) == 0) e.availability = Availability::kUp;
       return e;
     };
-    struct Held {
+    struct OpenRequest {
       int request_class;
       Time deadline;
-      bool told_end = false;
+      bool ended = false;
     };
-    std::map<RequestId, Held> held;
+    std::map<RequestId, OpenRequest> held;
     std::map<std::pair<RequestId, int>, Result> outcomes;
     std::size_t checked = 0;
     const auto check = [&] {
       for (; checked < d.sends.size(); ++checked) {
         const Driver::Sent& sent = d.sends[checked];
-        const Held& h = held.at(sent.send.id);
-        EXPECT_FALSE(h.told_end);
+        const OpenRequest& h = held.at(sent.send.id);
+        EXPECT_FALSE(h.ended);
         EXPECT_LT(sent.at, h.deadline);
         EXPECT_EQ(list[sent.send.server].availability, Availability::kUp);
         EXPECT_LT(sent.attempt, s.allowed.max_attempts);
@@ -275,7 +276,7 @@
     };
     d.List(ListKind::kRemembered, {});
     for (int step = 0; step < 600; ++step) {
-      d.Pass(milliseconds(pick(40)));
+      d.Advance(milliseconds(pick(40)));
       check();
       const int what = pick(10);
       if (what == 0) {
@@ -296,13 +297,13 @@
       } else if (what == 1 && !held.empty()) {
         auto it = held.begin();
         std::advance(it, pick(static_cast<int>(held.size())));
-        it->second.told_end = true;
+        it->second.ended = true;
         d.Feed(ClientGone{it->first});
       } else if (what < 6) {
         const int c = pick(3);
         const Duration ttl = milliseconds(pick(1000) - 20);
         held[d.last_id + 1] = {c, d.now + ttl};
-        d.Ask("k" + std::to_string(pick(30)), c, ttl, pick(10) == 0);
+        d.Submit("k" + std::to_string(pick(30)), c, ttl, pick(10) == 0);
       } else if (!d.sends.empty()) {
         const Driver::Sent sent = d.sends[static_cast<std::size_t>(pick(static_cast<int>(d.sends.size())))];
         const std::pair<RequestId, int> which{sent.send.id, sent.attempt};
@@ -312,25 +313,25 @@
               Result::kReset, Result::kMiss, Result::kTimeout};
           const Result result = kResults[pick(8)];
           outcomes[which] = result;
-          if (result == Result::kOk) held.at(sent.send.id).told_end = true;
-          d.Ends(sent.send.id, sent.attempt, result);
+          if (result == Result::kOk) held.at(sent.send.id).ended = true;
+          d.EndAttempt(sent.send.id, sent.attempt, result);
         }
       }
       check();
     }
-    d.Pass(seconds(3));
+    d.Advance(seconds(3));
     check();
     std::map<RequestId, int> ends;
     for (const RequestId id : d.refused) ++ends[id];
     for (const RequestId id : d.failed) ++ends[id];
     for (const auto& [id, h] : held) {
-      if (h.told_end) {
+      if (h.ended) {
         EXPECT_LE(ends[id], 1);
       } else {
         EXPECT_EQ(ends[id], 1) << "seed " << seed << " request " << id;
       }
     }
-    for (const RequestId id : d.refused) {  // a refusal promises that a retry is harmless
+    for (const RequestId id : d.refused) {  // a refusal promises that a retry is safe
       for (int i = 0; i < d.attempts[id]; ++i) {
         const auto outcome = outcomes.find({id, i});
         const bool never_ran = outcome != outcomes.end() &&
