--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -82,7 +82,7 @@
     const Time settled = loop_.Now() - limits_.settle;
     auto pick = std::find_if(idle.rbegin(), idle.rend(), [&](Place p) { return p->rested <= settled; });
     Connection& c = pick == idle.rend() ? *idle.front() : **pick;
-    if (Unread(bufferevent_getfd(c.buffer.get()))) {
+    if (HasUnreadInput(bufferevent_getfd(c.buffer.get()))) {
       Drop(c);
       continue;
     }
@@ -156,7 +156,7 @@
 
 // The output has gone to the kernel whole: the attempt counts as an attempt from here.
 void AttemptPool::OnWritten(Connection& c) {
-  loop_.NoteCallback();
+  loop_.RecordPollReturn();
   loop_.deadlines().Drop(c.leaving);
   if (!c.written || c.counted || !c.errand.request) return;
   c.counted = true;
@@ -164,7 +164,7 @@
 }
 
 void AttemptPool::OnEvent(Connection& c, short what) {
-  loop_.NoteCallback();
+  loop_.RecordPollReturn();
   if (what & BEV_EVENT_CONNECTED) {
     c.up = true;
     loop_.deadlines().Drop(c.deadline);
@@ -196,7 +196,7 @@
 }
 
 void AttemptPool::OnRead(Connection& c) {
-  loop_.NoteCallback();
+  loop_.RecordPollReturn();
   if (c.idle || !c.written) return Break(c, Result::kConnectFailed);  // nothing was asked
   if (c.streaming) return Stream(c);
   if (c.errand.request && !c.errand.request->write && TryStream(c)) return;
@@ -324,7 +324,8 @@
 void AttemptPool::AwaitRest(Connection& c, Duration wait) {
   c.deadline = loop_.deadlines().Set(loop_.Now() + wait, [this, place = c.self] {
     place->deadline = {};
-    if (Unread(bufferevent_getfd(place->buffer.get()))) return AwaitRest(*place, limits_.answer / 4);
+    if (HasUnreadInput(bufferevent_getfd(place->buffer.get())))
+      return AwaitRest(*place, limits_.answer / 4);
     Break(*place, Result::kSpoilt);
   });
 }
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -50,7 +50,7 @@
       queue.trim = loop_.deadlines().Set(due, [this, &queue] { Trim(queue); });
       return;
     }
-    if (Unread(bufferevent_getfd(s.buffer.get()))) {  // it is about to be read
+    if (HasUnreadInput(bufferevent_getfd(s.buffer.get()))) {  // it is about to be read
       s.returned = true;
       Rouse(s);
       continue;
@@ -64,7 +64,7 @@
   Client& s = **clients_.Find(id);
   s.deadline = {};
   // A loop that runs late finds deadlines due before it has read what came in time.
-  if (Unread(bufferevent_getfd(s.buffer.get()))) {
+  if (HasUnreadInput(bufferevent_getfd(s.buffer.get()))) {
     s.deadline =
         loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(50), [this, id] { Expire(id); });
     return;
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -95,7 +95,7 @@
     const std::pair<int, Time> at{WayRank(*s, now), s->active};
     if (at.first < 0 || at >= least) return;
     const evutil_socket_t fd = bufferevent_getfd(s->buffer.get());
-    if ((at.first > 0 && Unread(fd)) || Untaken(fd) != 0) return;
+    if ((at.first > 0 && HasUnreadInput(fd)) || UnacknowledgedBytes(fd) != 0) return;
     chosen = id;
     least = at;
   });
@@ -129,7 +129,7 @@
 }
 
 void ClientFront::Accept(evutil_socket_t fd) {
-  loop_.NoteCallback();
+  loop_.RecordPollReturn();
   accepts_failed_ = 0;
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -150,18 +150,18 @@
       s.buffer.get(),
       [](bufferevent*, void* p) {
         auto* at = static_cast<Client*>(p);
-        at->front->loop_.NoteCallback();
+        at->front->loop_.RecordPollReturn();
         at->resumed = false;
         at->front->Read(*at);
       },
       [](bufferevent*, void* p) {  // all written
         auto* at = static_cast<Client*>(p);
-        at->front->loop_.NoteCallback();
+        at->front->loop_.RecordPollReturn();
         at->front->Wake(at->id);
       },
       [](bufferevent*, short what, void* p) {
         auto* at = static_cast<Client*>(p);
-        at->front->loop_.NoteCallback();
+        at->front->loop_.RecordPollReturn();
         if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEnd::kTakesNothing);
         if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) at->front->Close(at->id, ClientEnd::kByClient);
       },
@@ -185,7 +185,7 @@
   const std::uint64_t id = s.id;
   // Guards against work for nobody: a client that has gone already is owed nothing, however much of what it
   // sent before is still to be read.
-  if (PeerGone(bufferevent_getfd(s.buffer.get()))) return Close(id, ClientEnd::kByClient);
+  if (PeerClosed(bufferevent_getfd(s.buffer.get()))) return Close(id, ClientEnd::kByClient);
   while (!s.closing) {
     if (Full(s)) {
       s.paused = true;
@@ -244,9 +244,9 @@
 Time ClientFront::Arrived(const Client& s) {
   const Time now = loop_.Now();
   const bool queued = s.queued_since != Time(0);
-  const auto unread = SinceLastByte(bufferevent_getfd(s.buffer.get()));
+  const auto unread = TimeSinceLastByte(bufferevent_getfd(s.buffer.get()));
   if (queued) return unread ? std::max(s.queued_since, now - *unread) : s.queued_since;
-  const Time arrived = loop_.Arrived();
+  const Time arrived = loop_.EarliestArrival();
   if (!unread || s.resumed) return arrived;
   return std::min(arrived, now - std::min(*unread, limits_.held_up));
 }
@@ -352,7 +352,7 @@
 bool ClientFront::Present(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   const auto* held = to == nullptr ? nullptr : clients_.Find(to->client);
-  return held != nullptr && !PeerGone(bufferevent_getfd((*held)->buffer.get()));
+  return held != nullptr && !PeerClosed(bufferevent_getfd((*held)->buffer.get()));
 }
 
 std::size_t ClientFront::Backlog(std::uint64_t ticket) const {
@@ -395,7 +395,7 @@
   s.look = loop_.deadlines().Set(loop_.Now() + limits_.gone_look, [this, id = s.id] {
     Client& at = **clients_.Find(id);
     at.look = {};
-    if (PeerGone(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEnd::kByClient);
+    if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEnd::kByClient);
     if (at.paused || at.closing) LookForEnd(at);
   });
 }
@@ -420,7 +420,7 @@
   // Guards against a close that crosses a command in the kernel: it would be reset, and the answers on
   // their way with it. That command is read and answered first.
   const bool ending = shutdown_.begun() || sending_away_;
-  if (ending && s.used && Idle(s) && !Unread(bufferevent_getfd(s.buffer.get()))) {
+  if (ending && s.used && Idle(s) && !HasUnreadInput(bufferevent_getfd(s.buffer.get()))) {
     return Part(s, shutdown_.begun() ? ClientEnd::kStopping : ClientEnd::kSentAway);
   }
   Await(s);
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -12,7 +12,7 @@
 
 void ClientFront::Stop(std::function<void()> done) {
   if (shutdown_.begun()) return;
-  shutdown_.Begin(loop_.Arrived());
+  shutdown_.Begin(loop_.EarliestArrival());
   stopped_ = std::move(done);
   WakeAll();
   loop_.deadlines().Set(shutdown_.last_new_work(), [this] { StopListening(); });
@@ -79,7 +79,7 @@
 bool ClientFront::Quiet() {
   bool quiet = engine_.open_requests() == 0;
   clients_.Each([&quiet](std::uint64_t, const auto& s) {
-    quiet = quiet && s->shut && Untaken(bufferevent_getfd(s->buffer.get())) == 0;
+    quiet = quiet && s->shut && UnacknowledgedBytes(bufferevent_getfd(s->buffer.get())) == 0;
   });
   return quiet;
 }
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -204,7 +204,7 @@
   Call& call = *calls_.at(id);
   // A callback that was put off for the call before, on the same connection, finds nothing.
   if (evbuffer_get_length(bufferevent_get_input(call.buffer.get())) == 0) return;
-  call.first_byte = std::min(call.first_byte, loop_.Arrived());
+  call.first_byte = std::min(call.first_byte, loop_.EarliestArrival());
   if (TakeAnswer(call, InputEnd::kOpen) != Parsed::kMore) return;
   refresher_.Progress(loop_.Now(), id);
   Arm();
@@ -246,7 +246,7 @@
 // its first byte was; where it may have been written long before, a drain has no grace left.
 ListOrigin DiscoveryWatch::OriginNow(const Call& call) const {
   ListOrigin origin = call.origin;
-  origin.arrived = loop_.Arrived();
+  origin.arrived = loop_.EarliestArrival();
   origin.told = refresher_.Undisturbed(call.id) ? std::min(origin.arrived, call.first_byte)
                                                 : loop_.Now() - drain_grace_ / 2;
   return origin;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -26,7 +26,7 @@
       base_.get(), -1, 0,
       [](evutil_socket_t, short, void* self) {
         auto* loop = static_cast<Loop*>(self);
-        loop->NoteCallback();
+        loop->RecordPollReturn();
         loop->RunDeadlines();
       },
       this));
@@ -88,7 +88,7 @@
   signal->event.reset(evsignal_new(
       base_.get(), number,
       [](evutil_socket_t, short, void* s) {
-        static_cast<Signal*>(s)->loop->NoteCallback();
+        static_cast<Signal*>(s)->loop->RecordPollReturn();
         static_cast<Signal*>(s)->call();
       },
       signal.get()));
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -26,7 +26,7 @@
 
 namespace brasswood {
 
-struct EventFree {
+struct EventDeleter {
   void operator()(event* e) const { event_free(e); }
   // Guards against what the last turn left undone: a callback put off to a later turn holds on to its
   // bufferevent. All that it could call is gone by now.
@@ -46,8 +46,8 @@
     bufferevent_free(b);
   }
 };
-using EventPtr = std::unique_ptr<event, EventFree>;
-using BufferPtr = std::unique_ptr<bufferevent, EventFree>;
+using EventPtr = std::unique_ptr<event, EventDeleter>;
+using BufferPtr = std::unique_ptr<bufferevent, EventDeleter>;
 
 class Loop {
  public:
@@ -59,13 +59,13 @@
   Time Now() const { return clock_.Now(); }
   void Run();
   // To be called first by each callback from outside (a socket, a signal, the timer).
-  void NoteCallback() {
+  void RecordPollReturn() {
     if (!polls_.has_returned()) polls_.Returned(PollReturned());
   }
   // The earliest moment at which what is read in this turn of the loop can have arrived: long before now
   // where the process was held up. At most now.
-  Time Arrived() {
-    NoteCallback();
+  Time EarliestArrival() {
+    RecordPollReturn();
     return std::min(polls_.Arrived(), Now());
   }
   // For good. Guards against a stop that comes before Run: libevent forgets such a one, and Run would wait
@@ -86,7 +86,7 @@
   PollTimes polls_;
   bool stopped_ = false;
   bool put_off_ = false;  // overdue deadlines wait for one more turn
-  std::unique_ptr<event_base, EventFree> base_;
+  std::unique_ptr<event_base, EventDeleter> base_;
   Deadlines deadlines_;
   EventPtr timer_;
   struct Signal {
@@ -99,7 +99,7 @@
 
 // What poll(2) says of one descriptor now, interrupted or not. Changes nothing: a recv, even a peek, takes
 // a pending error away, and a later read would then take the reset for an orderly end.
-inline short PollNow(evutil_socket_t fd, short events) {
+inline short PollOnce(evutil_socket_t fd, short events) {
   constexpr int kMostInterruptions = 100;
   pollfd p{fd, events, 0};
   int got = -1;
@@ -111,15 +111,15 @@
 }
 
 // Does anything wait unread on this socket, be it bytes or the other side's close?
-inline bool Unread(evutil_socket_t fd) { return PollNow(fd, POLLIN) != 0; }
+inline bool HasUnreadInput(evutil_socket_t fd) { return PollOnce(fd, POLLIN) != 0; }
 
 // Has the other side closed, or ended its sending? Tells it also while bytes that came before wait unread.
-inline bool PeerGone(evutil_socket_t fd) {
-  return (PollNow(fd, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+inline bool PeerClosed(evutil_socket_t fd) {
+  return (PollOnce(fd, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 // How long ago the kernel took the last byte from the other side; nothing where it does not tell.
-inline std::optional<Duration> SinceLastByte(evutil_socket_t fd) {
+inline std::optional<Duration> TimeSinceLastByte(evutil_socket_t fd) {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
@@ -127,7 +127,7 @@
 }
 
 // Bytes that were written and that the other side's kernel has not taken yet; 0 where that is not told.
-inline int Untaken(evutil_socket_t fd) {
+inline int UnacknowledgedBytes(evutil_socket_t fd) {
   int bytes = 0;
   return ::ioctl(fd, SIOCOUTQ, &bytes) == 0 ? bytes : 0;
 }
