--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -253,7 +253,7 @@
 
 void ClientFront::Begin(Client& s, RequestContent content) {
   NewRequest request;
-  std::string error = DescribeRequest(std::move(content), names_, limits_, request);
+  std::string error = BuildRequest(std::move(content), names_, limits_, request);
   request.arrived = Arrived(s);
   // Guards against two requests of one id: the answers of servers are told apart by it, and the first
   // request's client, perhaps another one, must be served as if nothing had happened.
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -256,7 +256,7 @@
 void DiscoveryWatch::TakeEntries(Call& call) {
   if (call.answer.answer().status != 200) return;
   call.list.Feed(call.answer.answer().body);
-  const auto part = call.list.TakeNew();
+  const auto part = call.list.TakeCompletedEntries();
   if (!part) return;
   counters_.partial += !std::exchange(call.used_in_part, true);
   engine_.ToldInPart(*part, OriginNow(call));
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -125,7 +125,7 @@
   list_->entries.push_back(std::move(entry));
 }
 
-std::optional<ServerList> ListReader::TakeNew() {
+std::optional<ServerList> ListReader::TakeCompletedEntries() {
   if (!list_ || list_->entries.empty()) return std::nullopt;
   return ServerList{list_->rev, list_->all, std::exchange(list_->entries, {})};
 }
--- a/src/protocol/discovery.h
+++ b/src/protocol/discovery.h
@@ -52,7 +52,7 @@
   // `json`: the text so far, from its start.
   void Feed(std::string_view json);
   // The entries that have become whole since the last call, with the list's version and kind.
-  std::optional<ServerList> TakeNew();
+  std::optional<ServerList> TakeCompletedEntries();
 
  private:
   enum class State { kBeforeEntries, kEntries, kEnded };
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -324,10 +324,10 @@
     const std::size_t cut = rest.find(',');
     const std::string_view figure = Trim(rest.substr(0, cut));
     const std::size_t equals = figure.find('=');
-    const auto value = equals == figure.npos ? std::nullopt : Figure(figure.substr(equals + 1));
+    const auto value = equals == figure.npos ? std::nullopt : ParseNumber(figure.substr(equals + 1));
     if (value) {
       if (!end.report) end.report.emplace();
-      SetReport(*end.report, figure.substr(0, equals), *value);
+      SetReportField(*end.report, figure.substr(0, equals), *value);
     }
     rest.remove_prefix(cut == rest.npos ? rest.size() : cut + 1);
   }
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -99,8 +99,8 @@
 
 // Guards against running what its client cannot have meant. A server turns such a command away or
 // closes on it, which would look like the server's fault and cost other requests their tries.
-std::string DescribeRequest(RequestContent content, const Names& names, const Limits& limits,
-                            NewRequest& request) {
+std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
+                         NewRequest& request) {
   request = {};
   request.wait = limits.default_wait;
   std::string error;
@@ -118,7 +118,7 @@
     if (name == "t") request.tenant = std::max(0, IndexOf(names.tenants, value));
     if (name == "r") request.repeat = value == "1";
     if (name == "size")
-      request.size_hint = Figure(value);  // a hint only: without it the request still runs
+      request.size_hint = ParseNumber(value);  // a hint only: without it the request still runs
     if (name == "d") {
       const auto ms = WholeNumber(value);
       const auto most = std::chrono::duration_cast<std::chrono::milliseconds>(limits.longest_wait).count();
@@ -233,7 +233,7 @@
   return ParseReply(in, request, limits, limits.stream_most, true, used, end, length);
 }
 
-void SetReport(beechledge::LoadReport& r, std::string_view name, double value) {
+void SetReportField(beechledge::LoadReport& r, std::string_view name, double value) {
   const std::pair<std::string_view, std::optional<double>*> fields[] = {
       {"inflight", &r.inflight}, {"queue", &r.queue}, {"util", &r.util}, {"latency_ms", &r.latency_ms},
       {"qps", &r.qps},           {"eps", &r.eps},     {"x0", &r.x0},     {"x1", &r.x1}};
@@ -263,10 +263,10 @@
     if (line == "END") return Parsed::kDone;
     if (NextWord(line) != "STAT") return Parsed::kBad;
     const std::string_view name = NextWord(line);
-    const auto value = Figure(line);
+    const auto value = ParseNumber(line);
     if (!value) continue;  // a figure that cannot be read is one that was not stated
     if (!end.report) end.report.emplace();
-    SetReport(*end.report, name, *value);
+    SetReportField(*end.report, name, *value);
   }
   return Parsed::kBad;
 }
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -28,8 +28,8 @@
 
 // The engine's view of a request, from its labels. Empty, or what is wrong with them: such a request must
 // not run.
-std::string DescribeRequest(RequestContent content, const Names& names, const Limits& limits,
-                            NewRequest& request);
+std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
+                         NewRequest& request);
 
 void AppendAnswer(std::string& out, std::string_view id, const Answer& answer, const Limits& limits);
 
@@ -53,7 +53,7 @@
                        AttemptEnd& end);
 
 // A figure of a load report under its name; others are passed over.
-void SetReport(beechledge::LoadReport& report, std::string_view name, double value);
+void SetReportField(beechledge::LoadReport& report, std::string_view name, double value);
 
 }  // namespace brasswood
 
--- a/src/protocol/parse.h
+++ b/src/protocol/parse.h
@@ -36,7 +36,7 @@
 
 // A figure from outside. Guards against `nan`, `inf` and what is too large to reckon with: from_chars takes
 // them all, and one of them in a load or a size spoils every sum that it enters.
-inline std::optional<double> Figure(std::string_view text) {
+inline std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -122,7 +122,7 @@
                          {"c=read,d=5,d=6", 0, 0, 6ms, false, "labels that disagree"}}) {
     INFO(c.labels);
     NewRequest request;
-    CHECK(DescribeRequest({"i", "k", c.labels, "", false}, names, kLimits, request) == c.error);
+    CHECK(BuildRequest({"i", "k", c.labels, "", false}, names, kLimits, request) == c.error);
     CHECK_FALSE(request.size_hint);
     CHECK(request.request_class == c.request_class);
     CHECK(request.tenant == c.tenant);
@@ -351,11 +351,11 @@
     const std::size_t came = std::size_t{end >= first} + std::size_t{end >= second};
     ListReader at_once(names, kLimits);
     at_once.Feed(std::string_view(whole).substr(0, end));
-    const auto part = at_once.TakeNew();
+    const auto part = at_once.TakeCompletedEntries();
     REQUIRE(part.has_value() == (came > 0));
     if (part) CHECK(part->entries.size() == came);
     grows.Feed(std::string_view(whole).substr(0, end));
-    if (const auto fresh = grows.TakeNew()) {
+    if (const auto fresh = grows.TakeCompletedEntries()) {
       CHECK(fresh->rev == 41);
       CHECK_FALSE(fresh->all);
       CHECK(fresh->entries.size() == 1);
@@ -372,7 +372,7 @@
     INFO(bad);
     ListReader reader(names, kLimits);
     reader.Feed(bad);
-    CHECK_FALSE(reader.TakeNew());
+    CHECK_FALSE(reader.TakeCompletedEntries());
   }
 }
 
