--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -104,7 +104,7 @@
 
 void Door::Respond(Caller& c, int status, const std::string& body, const std::string& type) {
   c.answered = true;
-  const std::string text = WriteDoorAnswer(status, body, type);
+  const std::string text = FormatAdminAnswer(status, body, type);
   bufferevent_write(c.buffer.get(), text.data(), text.size());
   // What the caller still sends is read and thrown away, so that closing sends no reset that could
   // destroy the answer; a caller that does not take it goes at the linger's end.
--- a/src/net/door.h
+++ b/src/net/door.h
@@ -50,7 +50,7 @@
   Loop& loop_;
   const Limits& limits_;
   Operations& router_;
-  DoorBounds bounds_;
+  AdminRequestLimits bounds_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   Slots<std::unique_ptr<Caller>> callers_;
   std::list<std::uint64_t> order_;  // by accept, the oldest first
--- a/src/protocol/door.cpp
+++ b/src/protocol/door.cpp
@@ -53,7 +53,8 @@
 
 }  // namespace
 
-Parsed ParseDoorCall(std::string_view in, const DoorBounds& bounds, std::size_t& used, DoorCall& call) {
+Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
+                     DoorCall& call) {
   call = {};
   // Guards against a caller that opens with empty lines, as RFC 9112 lets a server pass over.
   std::size_t start = 0;
@@ -109,7 +110,7 @@
   return Parsed::kDone;
 }
 
-std::string WriteDoorAnswer(int status, std::string_view body, std::string_view type) {
+std::string FormatAdminAnswer(int status, std::string_view body, std::string_view type) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + Reason(status);
   out.append("\r\nContent-Type: ").append(type);
   out.append("\r\nContent-Length: ").append(std::to_string(body.size()));
--- a/src/protocol/door.h
+++ b/src/protocol/door.h
@@ -19,17 +19,18 @@
 };
 
 // Bounds of one call, in bytes. A body is read and thrown away: no call of the door takes one.
-struct DoorBounds {
+struct AdminRequestLimits {
   std::size_t head = 8 * 1024;  // request line and headers
   std::size_t body = 4 * 1024;
 };
 
 // One call from the front of `in`. kMore: not whole yet (the caller bounds the wait); kBad: `call.status`
 // and `call.error` say what it is owed. `used`: the bytes of the call, body included.
-Parsed ParseDoorCall(std::string_view in, const DoorBounds& bounds, std::size_t& used, DoorCall& call);
+Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
+                     DoorCall& call);
 
 // A whole answer that closes the connection: status line, Content-Type, Content-Length, the body.
-std::string WriteDoorAnswer(int status, std::string_view body, std::string_view type = "text/plain");
+std::string FormatAdminAnswer(int status, std::string_view body, std::string_view type = "text/plain");
 
 }  // namespace brasswood
 
