--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -28,7 +28,7 @@
 void AwaitDial(const std::string& address) {
   char port[8];
   std::snprintf(port, sizeof port, ":%04X", std::stoi(address.substr(address.rfind(':') + 1)));
-  const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
   while (std::chrono::steady_clock::now() < patience) {
     std::ifstream table("/proc/net/tcp");
     std::string slot, local, remote, state;
@@ -59,7 +59,7 @@
   attempt.Line();
   attempt.Write(kAnswerThatWaits);
   pollfd answered{client.get(), POLLIN, 0};
-  REQUIRE(::poll(&answered, 1, kPatienceMs) == 1);
+  REQUIRE(::poll(&answered, 1, kTimeoutMs) == 1);
   return attempt;
 }
 
@@ -98,7 +98,7 @@
   client.Write("mn\r\n");
   CHECK(client.Line() == "MN\r\n");
   router.Freeze();
-  client.Write(Read("k1", "a1") + Read("k2", "a2") + Publish("p", "a3", "body"));
+  client.Write(Read("k1", "a1") + Read("k2", "a2") + PublishCommand("p", "a3", "body"));
   client.Close();
   router.Thaw();
   other.Write(Read("k4", "a4"));
@@ -221,7 +221,7 @@
   for (const int number : {SIGHUP, SIGTERM}) {
     INFO("signal " << number);
     Listener before, after;
-    const std::string path = Temporary();
+    const std::string path = TemporaryFile();
     ::unlink(path.c_str());
     REQUIRE(::mkfifo(path.c_str(), 0600) == 0);
     Process router = Launch(path);
@@ -247,7 +247,7 @@
 
 // Guards against a start that is refused for want of descriptors that are there a moment later.
 TEST_CASE("a router that finds no descriptor as it starts tries again, and serves") {
-  const std::string path = Temporary();
+  const std::string path = TemporaryFile();
   ::unlink(path.c_str());
   REQUIRE(::mkfifo(path.c_str(), 0600) == 0);
   Process router = Launch(path);
@@ -345,7 +345,7 @@
   config.replace(window, 19, R"("window":300000000)");
   InProcess router(config, [](Limits&) {});
   Fd client = router.Connect();
-  client.Write(Publish("pkg", "p1", "body"));
+  client.Write(PublishCommand("pkg", "p1", "body"));
   Fd first = origin.Accept();
   CHECK(first.Until("\r\n\r\nbody").starts_with("PUT /pkg "));
   origin.Fill();
@@ -355,7 +355,7 @@
   origin.Drain();
   Fd next = origin.Accept();  // its connection comes up only now
   CHECK(client.Line().starts_with("SERVER_ERROR "));
-  client.Write(Publish("pkg2", "p2", "body"));
+  client.Write(PublishCommand("pkg2", "p2", "body"));
   CHECK(next.Until("\r\n\r\n").starts_with("PUT /pkg2 "));  // nothing of the other was written
 }
 
@@ -377,7 +377,7 @@
     for (;;) {
       std::vector<pollfd> polled = {{node.get(), POLLIN, 0}, {hears ? other.get() : -1, POLLIN, 0}};
       for (const auto& [fd, at_node] : attempts) polled.push_back({fd.get(), POLLIN, 0});
-      if (::poll(polled.data(), polled.size(), kPatienceMs) < 1) throw std::runtime_error("no attempt");
+      if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1) throw std::runtime_error("no attempt");
       for (std::size_t i = polled.size(); i-- > 2;) {
         if (polled[i].revents == 0) continue;
         const std::string line = attempts[i - 2].first.Line();
--- a/tests/net/message_end_test.cpp
+++ b/tests/net/message_end_test.cpp
@@ -41,7 +41,7 @@
       origin.Close();
       CHECK(client.Line() == "VA 5 O" + read + "\r\n");
       CHECK(client.Line() == "whole\r\n");
-      origin = ask(Publish("p", write, "body"));
+      origin = ask(PublishCommand("p", write, "body"));
       origin.Write(head + "receipt-9");
       origin.Close();
       CHECK(client.Line() == "HD O" + write + " creceipt-9\r\n");
@@ -51,7 +51,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nrecei\r\n", "HTTP/1.1 200 OK\r\n", ""};
     for (const std::string& cut : cut_ones) {
       INFO(cut);
-      Fd origin = ask(Publish("p", std::to_string(++id), "body"));
+      Fd origin = ask(PublishCommand("p", std::to_string(++id), "body"));
       origin.Until("body");
       origin.Write(cut);
       if (&cut == &cut_ones[0]) {
@@ -79,7 +79,7 @@
 TEST_CASE("an answer with no length that is reset while the router stands still is not whole") {
   Router router("");
   Fd client = router.Connect();
-  client.Write(Publish("p", "a1", "body"));
+  client.Write(PublishCommand("p", "a1", "body"));
   Fd origin = router.origin.Accept();
   origin.Until("body");
   origin.Write("HTTP/1.1 200 OK\r\n\r\nrecei");
--- a/tests/net/router_test.cpp
+++ b/tests/net/router_test.cpp
@@ -39,12 +39,12 @@
 TEST_CASE("rule 2: a publish that may have run never goes out again") {
   Router router("");
   Fd client = router.Connect();
-  client.Write(Publish("pkg", "p1", "body"));
+  client.Write(PublishCommand("pkg", "p1", "body"));
   Fd first = router.origin.Accept();
   CHECK(first.Until("\r\n\r\nbody").starts_with("PUT /pkg HTTP/1.1\r\n"));
   first.Close();  // after its last byte: it may have run
   CHECK(client.Line() == "SERVER_ERROR failed\r\n");
-  client.Write(Publish("pkg", "p2", "body"));
+  client.Write(PublishCommand("pkg", "p2", "body"));
   Fd second = router.origin.Accept();  // the next that reaches the origin is the next publish
   CHECK(second.Until("\r\n\r\nbody").find("X-Txn: p2\r\n") != std::string::npos);
   second.Write(Http("", "503 Busy", "X-Turned-Away: 1\r\n"));  // it never ran: once more is allowed
@@ -124,7 +124,7 @@
   const std::string value = "a\r\nb" + std::string(60000, 'z');
   origin.Write(Http(value));
   CHECK(client.Line() == "VA 60004 Oa1\r\n");
-  CHECK(client.Exactly(value.size() + 2) == value + "\r\n");
+  CHECK(client.ReadExactly(value.size() + 2) == value + "\r\n");
 }
 
 TEST_CASE("pipelined commands begin at once and are answered in their order") {
@@ -629,13 +629,13 @@
   const std::size_t size = 300000;  // past what is taken whole
   attempt.Write("VA " + std::to_string(size) + " Oa1\r\n" + std::string(1000, 'x'));
   CHECK(client.Line() == "VA " + std::to_string(size) + " Oa1\r\n");  // before the rest exists
-  CHECK(client.Exactly(1000) == std::string(1000, 'x'));
+  CHECK(client.ReadExactly(1000) == std::string(1000, 'x'));
   for (std::size_t sent = 1000; sent < size; sent += 49900) {
     std::this_thread::sleep_for(std::chrono::milliseconds(300));  // slower in all than the request's time
     attempt.Write(std::string(std::min<std::size_t>(49900, size - sent), 'y'));
   }
   attempt.Write("\r\n");
-  CHECK(client.Exactly(size - 1000 + 2) == std::string(size - 1000, 'y') + "\r\n");
+  CHECK(client.ReadExactly(size - 1000 + 2) == std::string(size - 1000, 'y') + "\r\n");
   client.Write("mn\r\n");
   CHECK(client.Line() == "MN\r\n");  // the connection goes on
 }
@@ -649,7 +649,7 @@
   CHECK(attempt.Line().starts_with("mg big2 v Oa2"));
   attempt.Write("VA 300000 Oa2\r\n" + std::string(5000, 'z'));
   CHECK(client.Line() == "VA 300000 Oa2\r\n");
-  CHECK(client.Exactly(5000) == std::string(5000, 'z'));
+  CHECK(client.ReadExactly(5000) == std::string(5000, 'z'));
   attempt.Close();  // no second answer follows: the client can tell that the value is not whole
   CHECK(client.Ended());
 }
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -33,7 +33,7 @@
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
   CHECK_FALSE(router.process.err.Until(" stops; ").empty());
   std::this_thread::sleep_for(800ms);  // past the last moment; longer is as good
-  owed.Write(Read("k2", "a2") + Publish("p", "a3", "body"));
+  owed.Write(Read("k2", "a2") + PublishCommand("p", "a3", "body"));
   fresh.Write(Read("k4", "a4"));
   CHECK(fresh.Line().starts_with("SERVER_ERROR busy"));
   CHECK(fresh.Ended());
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -26,7 +26,7 @@
 
 namespace brasswood::testing {
 
-constexpr int kPatienceMs = 20000;
+constexpr int kTimeoutMs = 20000;
 
 class Fd {
  public:
@@ -48,7 +48,7 @@
   }
   // Up to and with `end`; empty once the other side has closed.
   std::string Until(const std::string& end) {
-    const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+    const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
     for (;;) {
       const std::size_t at = read_.find(end);
       if (at != read_.npos) return Cut(at + end.size());
@@ -65,7 +65,7 @@
     return piece;
   }
   std::string Line() { return Until("\r\n"); }
-  std::string Exactly(std::size_t n) {
+  std::string ReadExactly(std::size_t n) {
     while (read_.size() < n) REQUIRE(More());
     return Cut(n);
   }
@@ -83,7 +83,7 @@
   }
   bool More() {
     pollfd p{fd_, POLLIN, 0};
-    if (::poll(&p, 1, kPatienceMs) != 1) throw std::runtime_error("nothing came; so far: " + read_);
+    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("nothing came; so far: " + read_);
     char buffer[65536];
     const ssize_t n = ::read(fd_, buffer, sizeof buffer);
     if (n > 0) read_.append(buffer, static_cast<std::size_t>(n));
@@ -115,7 +115,7 @@
   void Close() { fd_.Close(); }
   Fd Accept() const {
     pollfd p{fd_.get(), POLLIN, 0};
-    if (::poll(&p, 1, kPatienceMs) != 1) throw std::runtime_error("nobody connected");
+    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("nobody connected");
     return Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
   }
 
@@ -128,7 +128,7 @@
 inline std::size_t FirstCalled(const std::vector<const Listener*>& listeners) {
   std::vector<pollfd> polled;
   for (const Listener* l : listeners) polled.push_back({l->get(), POLLIN, 0});
-  if (::poll(polled.data(), polled.size(), kPatienceMs) < 1) throw std::runtime_error("nobody connected");
+  if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1) throw std::runtime_error("nobody connected");
   for (std::size_t i = 0; i < polled.size(); ++i) {
     if (polled[i].revents != 0) return i;
   }
@@ -239,7 +239,7 @@
   }
 }
 
-inline std::string Temporary() {
+inline std::string TemporaryFile() {
   char path[] = "/tmp/brasswood-test-XXXXXX";
   const int file = ::mkstemp(path);
   REQUIRE(file >= 0);
@@ -249,7 +249,7 @@
 
 inline Process Start(const std::string& config, const std::string& discovery = "",
                      const std::vector<std::string>& more = {}) {
-  const std::string path = Temporary();
+  const std::string path = TemporaryFile();
   std::ofstream(path) << config;
   Process p = Launch(path, discovery, more);
   AwaitStart(p);
@@ -296,7 +296,7 @@
 inline std::string Read(const std::string& key, const std::string& id, int wait_ms = 9000) {
   return "mg " + key + " v O" + id + " Pc=read,d=" + std::to_string(wait_ms) + "\r\n";
 }
-inline std::string Publish(const std::string& key, const std::string& id, const std::string& value) {
+inline std::string PublishCommand(const std::string& key, const std::string& id, const std::string& value) {
   return "ms " + key + " " + std::to_string(value.size()) + " O" + id + " Pc=publish,d=9000\r\n" + value +
          "\r\n";
 }
