--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 Loop::Loop(bool precise) : base_(MakeBase(precise)) {
-  if (!base_) throw StartError("cannot make an event loop", errno);
+  if (!base_) throw StartError("cannot create an event loop", errno);
   timer_.reset(event_new(
       base_.get(), -1, 0,
       [](evutil_socket_t, short, void* self) {
@@ -30,11 +30,11 @@
         loop->RunDeadlines();
       },
       this));
-  if (!timer_) throw StartError("cannot make a timer", ENOMEM);
-  deadlines_.OnEarlier([this] { Arm(); });
+  if (!timer_) throw StartError("cannot create a timer", ENOMEM);
+  deadlines_.OnEarlier([this] { ArmTimer(); });
 }
 
-// One turn at a time, so that the moment at which each poll begins is known.
+// Runs one iteration at a time, so that the time at which each poll begins is known.
 void Loop::Run() {
   while (!stopped_) {
     polls_.Entered(Now(), deadlines_.Next());
@@ -42,40 +42,41 @@
   }
 }
 
-// libevent notes when its poll returned, on a clock of its own: only the time since then is taken from it.
-// The bound guards against a step of the wall clock between the two looks, which that clock follows.
+// libevent caches the time at which its poll returned, on its own clock, so only the time elapsed since
+// then is used. The clamp guards against a step of the wall clock, which libevent's clock follows, between
+// the two readings.
 Time Loop::PollReturned() {
-  timeval noted{}, current{};
-  event_base_gettimeofday_cached(base_.get(), &noted);
+  timeval cached{}, current{};
+  event_base_gettimeofday_cached(base_.get(), &cached);
   event_base_update_cache_time(base_.get());
   event_base_gettimeofday_cached(base_.get(), &current);
-  const Duration since = std::chrono::seconds(current.tv_sec - noted.tv_sec) +
-                         std::chrono::microseconds(current.tv_usec - noted.tv_usec);
+  const Duration since = std::chrono::seconds(current.tv_sec - cached.tv_sec) +
+                         std::chrono::microseconds(current.tv_usec - cached.tv_usec);
   const Time now = Now();
   return now - std::clamp(since, Duration(0), std::max(Duration(0), now - polls_.entered()));
 }
 
-// Guards against deadlines that act on what has changed long ago: in a process that stood still, answers
-// and closes may wait unread, and a poll that a stop interrupted tells of none. So overdue deadlines are
-// put off by one turn, in which all that is readable is read first.
+// Guards against deadlines that act on outdated state: if the process was stopped, answers and closes may
+// be unread, and a poll that SIGSTOP interrupted reports none of them. Overdue deadlines are therefore
+// deferred by one iteration, in which everything readable is read first.
 void Loop::RunDeadlines() {
   constexpr std::chrono::milliseconds kOverdue(10);
   const auto next = deadlines_.Next();
   const bool overdue = next && Now() - *next > kOverdue;
-  if (overdue && !std::exchange(put_off_, true)) {
-    const timeval at_once{};
-    event_add(timer_.get(), &at_once);
+  if (overdue && !std::exchange(deferred_, true)) {
+    const timeval immediately{};
+    event_add(timer_.get(), &immediately);
     return;
   }
-  put_off_ = false;
+  deferred_ = false;
   deadlines_.Run(Now());
-  Arm();
+  ArmTimer();
 }
 
-void Loop::Arm() {
+void Loop::ArmTimer() {
   const auto next = deadlines_.Next();
   if (!next) return;
-  // Rounded up, so that the timer never fires short of its deadline and spins.
+  // Rounded up, so that the timer never fires before its deadline and causes a busy loop.
   const auto us = std::max<std::int64_t>(0, ((*next - Now()).count() + 999) / 1000);
   const timeval wait{static_cast<time_t>(us / 1000000), static_cast<suseconds_t>(us % 1000000)};
   event_add(timer_.get(), &wait);
@@ -93,7 +94,7 @@
       },
       signal.get()));
   if (!signal->event || event_add(signal->event.get(), nullptr) != 0) {
-    throw StartError("cannot answer signals", errno);
+    throw StartError("cannot install a signal handler", errno);
   }
   signals_.push_back(std::move(signal));
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The event loop: libevent's base, with one timer that follows the earliest of all deadlines.
+// The event loop: a libevent event base with one timer, always armed for the earliest deadline.
 #ifndef BRASSWOOD_NET_LOOP_H_
 #define BRASSWOOD_NET_LOOP_H_
 
@@ -28,14 +28,14 @@
 
 struct EventDeleter {
   void operator()(event* e) const { event_free(e); }
-  // Guards against what the last turn left undone: a callback put off to a later turn holds on to its
-  // bufferevent. All that it could call is gone by now.
+  // Guards against a leak of deferred callbacks: one that is still queued holds a reference to its
+  // bufferevent, so a last non-blocking iteration runs them. Everything they could call is gone by now.
   void operator()(event_base* b) const {
     event_base_loop(b, EVLOOP_NONBLOCK);
     event_base_free(b);
   }
-  // bufferevent_free leaves the closing to a later turn of the loop. An attempt that was given up must be
-  // off its server before the next one of its request goes out, so the socket is closed here and now.
+  // bufferevent_free defers closing the socket to a later iteration of the loop. An abandoned attempt must
+  // be closed at its server before the next attempt of its request is sent, so the socket is closed here.
   void operator()(bufferevent* b) const {
     const evutil_socket_t fd = bufferevent_getfd(b);
     bufferevent_disable(b, EV_READ | EV_WRITE);
@@ -51,41 +51,42 @@
 
 class Loop {
  public:
-  // Timers are true to a millisecond; `precise` ones to some ten microseconds, at one more system call a
-  // turn.
+  // Timers are accurate to a millisecond; with `precise`, to some ten microseconds, at the cost of one more
+  // system call per iteration.
   explicit Loop(bool precise = false);
   event_base* base() { return base_.get(); }
   Deadlines& deadlines() { return deadlines_; }
   Time Now() const { return clock_.Now(); }
   void Run();
-  // To be called first by each callback from outside (a socket, a signal, the timer).
+  // Every callback from libevent (a socket, a signal, the timer) calls this first. It records when the poll
+  // of this iteration returned.
   void RecordPollReturn() {
     if (!polls_.has_returned()) polls_.Returned(PollReturned());
   }
-  // The earliest moment at which what is read in this turn of the loop can have arrived: long before now
-  // where the process was held up. At most now.
+  // The earliest time at which data read in this iteration can have arrived; never after now. It is long
+  // before now if the process was not scheduled or was stopped.
   Time EarliestArrival() {
     RecordPollReturn();
     return std::min(polls_.Arrived(), Now());
   }
-  // For good. Guards against a stop that comes before Run: libevent forgets such a one, and Run would wait
-  // for ever.
+  // Stops the loop permanently. Guards against a stop before Run: libevent does not remember it, and Run
+  // would block forever.
   void Stop() {
     stopped_ = true;
     event_base_loopbreak(base_.get());
   }
-  // Runs `call` on each of that signal.
+  // Runs `call` each time the signal `number` is received.
   void OnSignal(int number, std::function<void()> call);
 
  private:
-  void Arm();
+  void ArmTimer();
   void RunDeadlines();
   Time PollReturned();
 
   Clock clock_;
   PollTimes polls_;
   bool stopped_ = false;
-  bool put_off_ = false;  // overdue deadlines wait for one more turn
+  bool deferred_ = false;  // overdue deadlines were deferred by one iteration
   std::unique_ptr<event_base, EventDeleter> base_;
   Deadlines deadlines_;
   EventPtr timer_;
@@ -97,28 +98,29 @@
   std::vector<std::unique_ptr<Signal>> signals_;
 };
 
-// What poll(2) says of one descriptor now, interrupted or not. Changes nothing: a recv, even a peek, takes
-// a pending error away, and a later read would then take the reset for an orderly end.
+// Polls one descriptor without blocking, retrying when interrupted, and returns its events. A recv is not
+// used, not even with MSG_PEEK: it would clear a pending socket error, and a later read would then mistake
+// the reset for an orderly close.
 inline short PollOnce(evutil_socket_t fd, short events) {
-  constexpr int kMostInterruptions = 100;
+  constexpr int kMaxInterruptions = 100;
   pollfd p{fd, events, 0};
   int got = -1;
-  for (int i = 0; got < 0 && i < kMostInterruptions; ++i) {
+  for (int i = 0; got < 0 && i < kMaxInterruptions; ++i) {
     got = ::poll(&p, 1, 0);
     if (got < 0 && errno != EINTR) break;
   }
   return got == 1 ? p.revents : short{0};
 }
 
-// Does anything wait unread on this socket, be it bytes or the other side's close?
+// Whether this socket has unread data or an unread close from the peer.
 inline bool HasUnreadInput(evutil_socket_t fd) { return PollOnce(fd, POLLIN) != 0; }
 
-// Has the other side closed, or ended its sending? Tells it also while bytes that came before wait unread.
+// Whether the peer has closed the connection or its sending side, even if earlier bytes are still unread.
 inline bool PeerClosed(evutil_socket_t fd) {
   return (PollOnce(fd, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-// How long ago the kernel took the last byte from the other side; nothing where it does not tell.
+// How long ago the kernel received the last byte from the peer; empty if the kernel does not report it.
 inline std::optional<Duration> TimeSinceLastByte(evutil_socket_t fd) {
   tcp_info info{};
   socklen_t size = sizeof info;
@@ -126,13 +128,13 @@
   return std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
-// Bytes that were written and that the other side's kernel has not taken yet; 0 where that is not told.
+// Bytes that were written and that the peer's kernel has not acknowledged yet; 0 if that is unknown.
 inline int UnacknowledgedBytes(evutil_socket_t fd) {
   int bytes = 0;
   return ::ioctl(fd, SIOCOUTQ, &bytes) == 0 ? bytes : 0;
 }
 
-// All that a bufferevent has read, in one piece.
+// Everything in a bufferevent's input buffer, as one contiguous piece.
 inline std::string_view Gathered(bufferevent* b) {
   evbuffer* in = bufferevent_get_input(b);
   const std::size_t n = evbuffer_get_length(in);
