--- a/src/net/startup.cpp
+++ b/src/net/startup.cpp
@@ -10,11 +10,11 @@
 namespace brasswood {
 namespace {
 
-// epoll, its pipe for signals, a pair for the disk's thread, the listeners, and some to spare.
+// The epoll descriptor, libevent's signal pipe, a pair for the disk thread, the listeners, and some spare.
 constexpr std::size_t kLoopDescriptors = 12;
 
-// Shortages and interruptions pass; a wrong address, or one that is taken, does not.
-bool Passes(int error) {
+// Resource shortages and interruptions are transient; an invalid address, or one in use, is not.
+bool IsTransient(int error) {
   switch (error) {
     case EMFILE:
     case ENFILE:
@@ -31,22 +31,22 @@
 }  // namespace
 
 StartError::StartError(const std::string& what, int error)
-    : std::runtime_error(what + ": " + std::strerror(error)), passing_(Passes(error)) {}
+    : std::runtime_error(what + ": " + std::strerror(error)), transient_(IsTransient(error)) {}
 
 void ProbeDescriptors() {
   std::array<int, kLoopDescriptors> probes{};
-  std::size_t had = 0;
+  std::size_t opened = 0;
   int error = 0;
-  while (had < probes.size() && error == 0) {
+  while (opened < probes.size() && error == 0) {
     const int fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
     if (fd < 0) {
       error = errno;
     } else {
-      probes[had++] = fd;
+      probes[opened++] = fd;
     }
   }
-  for (std::size_t i = 0; i < had; ++i) ::close(probes[i]);
-  if (error != 0) throw StartError("no descriptors to start with", error);
+  for (std::size_t i = 0; i < opened; ++i) ::close(probes[i]);
+  if (error != 0) throw StartError("not enough file descriptors to start", error);
 }
 
 }  // namespace brasswood
--- a/src/net/startup.h
+++ b/src/net/startup.h
@@ -1,4 +1,4 @@
-// What a process needs from the system before it can serve, and what to make of its lack.
+// Errors of system calls that a process depends on at its start, and a check for enough descriptors.
 #ifndef BRASSWOOD_NET_STARTUP_H_
 #define BRASSWOOD_NET_STARTUP_H_
 
@@ -8,24 +8,24 @@
 
 namespace brasswood {
 
-// The system refused a call that the start rests on.
+// A system call that the start depends on failed.
 class StartError : public std::runtime_error {
  public:
-  // `what`: what could not be done; `error`: the call's errno.
+  // `what`: the action that failed; `error`: the errno of the system call.
   StartError(const std::string& what, int error);
-  // May the same call succeed a moment later?
-  bool passing() const { return passing_; }
+  // Whether the same call may succeed a moment later.
+  bool passing() const { return transient_; }
 
  private:
-  bool passing_;
+  bool transient_;
 };
 
-// How long a start is tried again while what it lacks may come back, and how often.
+// For how long a start that failed for a transient reason is retried, and the pause between two tries.
 inline constexpr std::chrono::seconds kStartPatience{8};
 inline constexpr std::chrono::milliseconds kStartPause{50};
 
-// Throws StartError where the few descriptors that a loop takes are not to be had. libevent ends the
-// process where one of them is refused, so they are asked for first.
+// Throws StartError if the descriptors that an event loop needs are not available. libevent aborts the
+// process when it cannot open one of them, so they are tried out beforehand.
 void ProbeDescriptors();
 
 }  // namespace brasswood
