--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -23,84 +23,85 @@
 }
 
 AttemptPool::~AttemptPool() {
-  for (Connection& c : connections_) {
-    loop_.deadlines().Drop(c.deadline);
-    loop_.deadlines().Drop(c.leaving);
+  for (Connection& connection : connections_) {
+    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Drop(connection.send_deadline);
   }
   std::erase(budget_.pools, this);
 }
 
 void AttemptPool::Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
                         Time until, Time sent_by) {
-  Begin(to, {attempt, std::move(request), false, until, sent_by});
+  StartOperation(to, {attempt, std::move(request), false, until, sent_by});
 }
 void AttemptPool::Probe(AttemptId probe, ServerId to, bool load) {
-  Begin(to, {probe, nullptr, load, loop_.Now() + limits_.probe, {}});
+  StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe, {}});
 }
 
-void AttemptPool::Begin(ServerId to, Errand errand) {
+void AttemptPool::StartOperation(ServerId to, Operation operation) {
   const Server* server = engine_.FindServer(to);
-  const AttemptId attempt = errand.attempt;
-  if (Connection* c = Rested(to)) {
-    c->errand = std::move(errand);
-    busy_.emplace(attempt, c->self);
+  const AttemptId attempt = operation.attempt;
+  if (Connection* connection = TakeIdle(to)) {
+    connection->operation = std::move(operation);
+    busy_.emplace(attempt, connection->self);
     ++counters_.connections_reused;
-    LogLine(Level::kDebug) << "connection to " << c->endpoint << " used again after "
-                           << (loop_.Now() - c->rested).count() / 1000 << " us";
-    return WriteErrand(*c);
+    LogLine(Level::kDebug) << "connection to " << connection->endpoint << " reused after "
+                           << (loop_.Now() - connection->idle_since).count() / 1000 << " us";
+    return WriteOperation(*connection);
   }
-  if (server == nullptr || !MakeRoom()) {
-    // No descriptor to spare: that is this router's lack, not the server's, and nothing was sent.
+  if (server == nullptr || !EnsureCapacity()) {
+    // No connection may be opened: a shortage of this router, not a fault of the server. Nothing was sent.
     AttemptEnd end;
     end.result = Result::kMoot;
     return engine_.AttemptEnded(attempt, std::move(end));
   }
   connections_.emplace_back();
-  Connection& c = connections_.back();
-  c.pool = this;
-  c.self = std::prev(connections_.end());
-  c.server = to;
-  c.endpoint = server->endpoint;
-  c.errand = std::move(errand);
+  Connection& connection = connections_.back();
+  connection.pool = this;
+  connection.self = std::prev(connections_.end());
+  connection.server = to;
+  connection.endpoint = server->endpoint;
+  connection.operation = std::move(operation);
   ++budget_.open;
   ++counters_.connections;
-  LogLine(Level::kDebug) << "connection to " << c.endpoint << " opened";
-  busy_.emplace(attempt, c.self);
-  if (!Connect(c, *server)) Break(c, Result::kConnectFailed);
+  LogLine(Level::kDebug) << "connection to " << connection.endpoint << " opened";
+  busy_.emplace(attempt, connection.self);
+  if (!Connect(connection, *server)) CloseWithResult(connection, Result::kConnectFailed);
 }
 
-// A resting connection that is fit for another attempt, taken out of its rest; null if there is none.
-// Guards against what a server sent beyond its answer: it would pass for the start of the next one. The
-// socket is looked at first, as the loop may not have read it yet, and one that has just answered is taken
-// only where no other rests: what trails an answer, a close too, comes right behind it, and an attempt
-// written to a connection that is closing may have run for all this side can tell.
-AttemptPool::Connection* AttemptPool::Rested(ServerId server) {
+// Takes an idle connection that can carry another attempt out of the idle list; null if there is none.
+// Guards against bytes that a server sent after its answer, which would be parsed as the start of the next
+// one. The socket is checked first, because the loop may not have read it yet. A connection that has just
+// answered is used only if there is no other: extra bytes or a close come right after an answer, and an
+// attempt that was written to a closing connection may have run, as far as the router can tell.
+AttemptPool::Connection* AttemptPool::TakeIdle(ServerId server) {
   const auto at = idle_.find(server);
   if (at == idle_.end()) return nullptr;
-  std::vector<Place>& idle = at->second;
+  std::vector<ConnectionIt>& idle = at->second;
   while (!idle.empty()) {
     const Time settled = loop_.Now() - limits_.settle;
-    auto pick = std::find_if(idle.rbegin(), idle.rend(), [&](Place p) { return p->rested <= settled; });
-    Connection& c = pick == idle.rend() ? *idle.front() : **pick;
-    if (HasUnreadInput(bufferevent_getfd(c.buffer.get()))) {
-      Drop(c);
+    auto pick =
+        std::find_if(idle.rbegin(), idle.rend(), [&](ConnectionIt p) { return p->idle_since <= settled; });
+    Connection& connection = pick == idle.rend() ? *idle.front() : **pick;
+    if (HasUnreadInput(bufferevent_getfd(connection.buffer.get()))) {
+      CloseConnection(connection);
       continue;
     }
-    std::erase(idle, c.self);
-    loop_.deadlines().Drop(c.deadline);
-    c.idle = false;
-    return &c;
+    std::erase(idle, connection.self);
+    loop_.deadlines().Drop(connection.deadline);
+    connection.idle = false;
+    return &connection;
   }
   return nullptr;
 }
 
-bool AttemptPool::Connect(Connection& c, const Server& server) {
+bool AttemptPool::Connect(Connection& connection, const Server& server) {
   const auto address = ParseAddress(server.endpoint);
   if (!address) return false;
-  c.buffer.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
-  if (!c.buffer) return false;
+  connection.buffer.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
+  if (!connection.buffer) return false;
   bufferevent_setcb(
-      c.buffer.get(),
+      connection.buffer.get(),
       [](bufferevent*, void* p) {
         auto* at = static_cast<Connection*>(p);
         at->pool->OnRead(*at);
@@ -113,274 +114,292 @@
         auto* at = static_cast<Connection*>(p);
         at->pool->OnEvent(*at, what);
       },
-      &c);
-  bufferevent_enable(c.buffer.get(), EV_READ | EV_WRITE);
-  c.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect, [this, place = c.self] {
-    place->deadline = {};
-    Break(*place, Result::kConnectFailed);
+      &connection);
+  bufferevent_enable(connection.buffer.get(), EV_READ | EV_WRITE);
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect, [this, it = connection.self] {
+    it->deadline = {};
+    CloseWithResult(*it, Result::kConnectFailed);
   });
-  // A failure at once (no descriptor, no route) may have gone through OnEvent already, which then has taken
-  // the connection away: `c` is looked at no more, and the attempt tells.
-  const AttemptId attempt = c.errand.attempt;
-  if (bufferevent_socket_connect(c.buffer.get(), reinterpret_cast<const sockaddr*>(&*address),
+  // An immediate failure (no descriptor, no route) may already have been handled by OnEvent, which destroys
+  // the connection. `connection` must not be used then; whether the attempt is still in `busy_` shows what
+  // happened.
+  const AttemptId attempt = connection.operation.attempt;
+  if (bufferevent_socket_connect(connection.buffer.get(), reinterpret_cast<const sockaddr*>(&*address),
                                  sizeof *address) != 0) {
     return !busy_.contains(attempt);
   }
   const int on = 1;
-  setsockopt(bufferevent_getfd(c.buffer.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  setsockopt(bufferevent_getfd(connection.buffer.get()), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return true;
 }
 
-void AttemptPool::WriteErrand(Connection& c) {
-  const Server* server = engine_.FindServer(c.server);
+void AttemptPool::WriteOperation(Connection& connection) {
+  const Server* server = engine_.FindServer(connection.server);
   const SendVerdict verdict =
-      c.errand.request ? engine_.JudgeFirstByte(c.errand.attempt, c.endpoint) : SendVerdict::kAllowed;
+      connection.operation.request
+          ? engine_.JudgeFirstByte(connection.operation.attempt, connection.endpoint)
+          : SendVerdict::kAllowed;
   if (verdict != SendVerdict::kAllowed) {
-    // The connection itself is sound.
-    const AttemptId attempt = c.errand.attempt;
-    Rest(c);
+    // The connection itself is usable.
+    const AttemptId attempt = connection.operation.attempt;
+    MakeIdle(connection);
     return engine_.HeldBack(attempt, verdict);
   }
-  const std::string text = Write(c.errand, *server, c.errand.until - loop_.Now());
-  c.written = true;
-  c.counted = false;
-  // Guards against a repeat whose last byte the other side's full window holds back past its time.
-  if (c.errand.request && c.errand.sent_by < c.errand.until) {
-    c.leaving = loop_.deadlines().Set(c.errand.sent_by, [this, place = c.self] {
-      place->leaving = {};
-      if (!LeftWhole(*place)) Break(*place, Result::kConnectFailed);
-    });
+  const std::string text = Format(connection.operation, *server, connection.operation.until - loop_.Now());
+  connection.written = true;
+  connection.sent_reported = false;
+  // Guards against a repeat whose last byte is held back by the peer's full receive window until after
+  // `sent_by`.
+  if (connection.operation.request && connection.operation.sent_by < connection.operation.until) {
+    connection.send_deadline =
+        loop_.deadlines().Set(connection.operation.sent_by, [this, it = connection.self] {
+          it->send_deadline = {};
+          if (!FullySent(*it)) CloseWithResult(*it, Result::kConnectFailed);
+        });
   }
-  bufferevent_write(c.buffer.get(), text.data(), text.size());
+  bufferevent_write(connection.buffer.get(), text.data(), text.size());
 }
 
-// The output has gone to the kernel whole: the attempt counts as an attempt from here.
-void AttemptPool::OnWritten(Connection& c) {
+// All output was handed to the kernel: the attempt counts as sent from here on.
+void AttemptPool::OnWritten(Connection& connection) {
   loop_.RecordPollReturn();
-  loop_.deadlines().Drop(c.leaving);
-  if (!c.written || c.counted || !c.errand.request) return;
-  c.counted = true;
-  engine_.AttemptLeft(c.errand.attempt);
+  loop_.deadlines().Drop(connection.send_deadline);
+  if (!connection.written || connection.sent_reported || !connection.operation.request) return;
+  connection.sent_reported = true;
+  engine_.AttemptLeft(connection.operation.attempt);
 }
 
-void AttemptPool::OnEvent(Connection& c, short what) {
+void AttemptPool::OnEvent(Connection& connection, short what) {
   loop_.RecordPollReturn();
   if (what & BEV_EVENT_CONNECTED) {
-    c.up = true;
-    loop_.deadlines().Drop(c.deadline);
-    return WriteErrand(c);
+    connection.connected = true;
+    loop_.deadlines().Drop(connection.deadline);
+    return WriteOperation(connection);
   }
-  if (c.written && TakeLastAnswer(c, what)) return;
-  Break(c, LeftWhole(c) ? Result::kReset : Result::kConnectFailed);
+  if (connection.written && HandleLastAnswer(connection, what)) return;
+  CloseWithResult(connection, FullySent(connection) ? Result::kReset : Result::kConnectFailed);
 }
 
-// The connection has ended under an attempt: is there a whole answer in what came before? An orderly close
-// ends an answer that states no length; a reset ends none. Guards also against an answer that is lost since
-// the rest of a long command met the close first: what came is still there to be read.
-bool AttemptPool::TakeLastAnswer(Connection& c, short what) {
+// The connection ended during an attempt: handles a complete answer that was received before, and returns
+// whether there was one. An orderly close ends an answer that states no length; a reset ends none. Guards
+// against losing an answer because writing the rest of a long command failed first: the answer can still be
+// read from the socket.
+bool AttemptPool::HandleLastAnswer(Connection& connection, short what) {
   if ((what & BEV_EVENT_WRITING) != 0) {
-    evbuffer* in = bufferevent_get_input(c.buffer.get());
+    evbuffer* in = bufferevent_get_input(connection.buffer.get());
     evbuffer_unfreeze(in, 0);
-    const int most = static_cast<int>(limits_.value + limits_.http_head);
-    const bool came = evbuffer_read(in, bufferevent_getfd(c.buffer.get()), most) > 0;
+    const int max_bytes = static_cast<int>(limits_.value + limits_.http_head);
+    const bool received = evbuffer_read(in, bufferevent_getfd(connection.buffer.get()), max_bytes) > 0;
     evbuffer_freeze(in, 0);
-    return came && !c.streaming && TakeAnswer(c, InputEnd::kOpen) == Parsed::kDone;
+    return received && !connection.streaming && HandleAnswer(connection, InputEnd::kOpen) == Parsed::kDone;
   }
-  if ((what & BEV_EVENT_EOF) == 0 || c.streaming) return false;
-  return TakeAnswer(c, InputEnd::kClosed) == Parsed::kDone;
+  if ((what & BEV_EVENT_EOF) == 0 || connection.streaming) return false;
+  return HandleAnswer(connection, InputEnd::kClosed) == Parsed::kDone;
 }
 
-// Has the errand's last byte left for the kernel? What a bufferevent still holds has not.
-bool AttemptPool::LeftWhole(const Connection& c) {
-  return c.written && evbuffer_get_length(bufferevent_get_output(c.buffer.get())) == 0;
+// Whether the operation's last byte was handed to the kernel. What a bufferevent still holds was not.
+bool AttemptPool::FullySent(const Connection& connection) {
+  return connection.written && evbuffer_get_length(bufferevent_get_output(connection.buffer.get())) == 0;
 }
 
-void AttemptPool::OnRead(Connection& c) {
+void AttemptPool::OnRead(Connection& connection) {
   loop_.RecordPollReturn();
-  if (c.idle || !c.written) return Break(c, Result::kConnectFailed);  // nothing was asked
-  if (c.streaming) return Stream(c);
-  if (c.errand.request && !c.errand.request->write && TryStream(c)) return;
-  switch (TakeAnswer(c, InputEnd::kOpen)) {
+  if (connection.idle || !connection.written)
+    return CloseWithResult(connection, Result::kConnectFailed);  // no answer is due
+  if (connection.streaming) return StreamValue(connection);
+  if (connection.operation.request && !connection.operation.request->write && TryStartStreaming(connection))
+    return;
+  switch (HandleAnswer(connection, InputEnd::kOpen)) {
     case Parsed::kMore:
-      loop_.deadlines().Drop(c.deadline);
-      AwaitRest(c, limits_.answer);
+      loop_.deadlines().Drop(connection.deadline);
+      SetAnswerDeadline(connection, limits_.answer);
       return;
     case Parsed::kBad:
-      LogLine(Level::kDebug) << "bad answer from " << engine_.FindServer(c.server)->uid;
-      return Break(c, Result::kSpoilt);
+      LogLine(Level::kDebug) << "bad answer from " << engine_.FindServer(connection.server)->uid;
+      return CloseWithResult(connection, Result::kSpoilt);
     case Parsed::kDone:
       return;
   }
 }
 
-// kDone: a whole answer has come, the attempt has ended with it, and the connection rests or is gone.
-Parsed AttemptPool::TakeAnswer(Connection& c, InputEnd input) {
+// kDone: a complete answer was received, the attempt has ended with it, and the connection is idle or
+// closed.
+Parsed AttemptPool::HandleAnswer(Connection& connection, InputEnd input) {
   std::size_t used = 0;
   AttemptEnd end;
   bool keep = true;
-  const Parsed got = Parse(Gathered(c.buffer.get()), c.errand, input, used, end, keep);
+  const Parsed got = Parse(Gathered(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
-  loop_.deadlines().Drop(c.deadline);
-  evbuffer_drain(bufferevent_get_input(c.buffer.get()), used);
-  const AttemptId attempt = c.errand.attempt;
-  const bool whole = LeftWhole(c) && evbuffer_get_length(bufferevent_get_input(c.buffer.get())) == 0;
+  loop_.deadlines().Drop(connection.deadline);
+  evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
+  const AttemptId attempt = connection.operation.attempt;
+  const bool whole =
+      FullySent(connection) && evbuffer_get_length(bufferevent_get_input(connection.buffer.get())) == 0;
   if (keep && whole && input == InputEnd::kOpen) {
-    Rest(c);
+    MakeIdle(connection);
   } else {
-    Drop(c);
+    CloseConnection(connection);
   }
   engine_.AttemptEnded(attempt, std::move(end));
   return Parsed::kDone;
 }
 
-// A large value is passed on as it comes, never held until it is whole: a slow server that writes in
-// small pieces would keep its client waiting for all of it, and memory would hold all of it. Only the
-// head is gathered here, not what follows. True: the answer is being passed on, or has ended the attempt.
-bool AttemptPool::TryStream(Connection& c) {
-  evbuffer* in = bufferevent_get_input(c.buffer.get());
+// Starts streaming a large value to the client instead of buffering it: otherwise a slow server that writes
+// in small pieces would keep the client waiting for the whole value, and memory would hold all of it. Only
+// the head is made contiguous here, not what follows it. Returns true if the answer is being streamed or
+// has ended the attempt.
+bool AttemptPool::TryStartStreaming(Connection& connection) {
+  evbuffer* in = bufferevent_get_input(connection.buffer.get());
   const std::size_t have = evbuffer_get_length(in);
-  const std::size_t look = std::min(have, limits_.http_head + limits_.line + 8);
+  const std::size_t head_size = std::min(have, limits_.http_head + limits_.line + 8);
   const std::string_view front(
-      reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(look))), look);
+      reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(head_size))), head_size);
   std::size_t used = 0, trailer = 0;
   AttemptEnd head;
   std::optional<std::uint64_t> length;
   bool keep = true;
-  const Parsed got = ParseHead(front, c.errand, used, head, length, trailer, keep);
-  if (got != Parsed::kDone || !length || *length <= limits_.value) return false;  // as a whole one
+  const Parsed got = ParseHead(front, connection.operation, used, head, length, trailer, keep);
+  if (got != Parsed::kDone || !length || *length <= limits_.value) return false;  // read it whole
   evbuffer_drain(in, used);
-  loop_.deadlines().Drop(c.deadline);
-  c.streaming = true;
-  c.left = *length;
-  c.trailer = trailer;
-  c.keep = keep;
-  c.head = std::move(head);
-  const AttemptId attempt = c.errand.attempt;
+  loop_.deadlines().Drop(connection.deadline);
+  connection.streaming = true;
+  connection.value_left = *length;
+  connection.trailer = trailer;
+  connection.keep = keep;
+  connection.streamed_end = std::move(head);
+  const AttemptId attempt = connection.operation.attempt;
   if (!engine_.AttemptOpened(attempt, static_cast<std::size_t>(*length))) {
-    if (busy_.contains(attempt)) Break(c, Result::kCancelled);
+    if (busy_.contains(attempt)) CloseWithResult(connection, Result::kCancelled);
     return true;
   }
-  if (busy_.contains(attempt)) Stream(c);
+  if (busy_.contains(attempt)) StreamValue(connection);
   return true;
 }
 
-void AttemptPool::Stream(Connection& c) {
+void AttemptPool::StreamValue(Connection& connection) {
   constexpr std::size_t kPiece = 64 * 1024;
-  const AttemptId attempt = c.errand.attempt;
-  evbuffer* in = bufferevent_get_input(c.buffer.get());
+  const AttemptId attempt = connection.operation.attempt;
+  evbuffer* in = bufferevent_get_input(connection.buffer.get());
   std::string piece;
-  while (c.left > 0 && evbuffer_get_length(in) > 0) {
-    if (engine_.Backlog(attempt) > limits_.stream_window) return AwaitRoom(c);
-    const auto n =
-        static_cast<std::size_t>(std::min<std::uint64_t>({c.left, evbuffer_get_length(in), kPiece}));
+  while (connection.value_left > 0 && evbuffer_get_length(in) > 0) {
+    if (engine_.Backlog(attempt) > limits_.stream_window) return PauseForBackpressure(connection);
+    const auto n = static_cast<std::size_t>(
+        std::min<std::uint64_t>({connection.value_left, evbuffer_get_length(in), kPiece}));
     piece.resize(n);
     evbuffer_remove(in, piece.data(), n);
-    c.left -= n;
+    connection.value_left -= n;
     engine_.AttemptPiece(attempt, piece);
-    if (!busy_.contains(attempt)) return;  // given up meanwhile, and the connection with it
+    if (!busy_.contains(attempt)) return;  // abandoned meanwhile, and its connection closed
   }
-  if (c.left > 0 || evbuffer_get_length(in) < c.trailer) return;
-  if (c.trailer > 0) {
+  if (connection.value_left > 0 || evbuffer_get_length(in) < connection.trailer) return;
+  if (connection.trailer > 0) {
     const std::string_view end(
-        reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(c.trailer))), c.trailer);
-    if (end != std::string_view("\r\n").substr(0, c.trailer)) return Break(c, Result::kSpoilt);
-    evbuffer_drain(in, c.trailer);
+        reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(connection.trailer))),
+        connection.trailer);
+    if (end != std::string_view("\r\n").substr(0, connection.trailer))
+      return CloseWithResult(connection, Result::kSpoilt);
+    evbuffer_drain(in, connection.trailer);
   }
-  Finish(c);
+  FinishStreaming(connection);
 }
 
-void AttemptPool::Finish(Connection& c) {
-  const AttemptId attempt = c.errand.attempt;
-  AttemptEnd end = std::move(c.head);
+void AttemptPool::FinishStreaming(Connection& connection) {
+  const AttemptId attempt = connection.operation.attempt;
+  AttemptEnd end = std::move(connection.streamed_end);
   end.result = Result::kOk;
   end.streamed = true;
-  c.streaming = false;
-  const bool whole = LeftWhole(c) && evbuffer_get_length(bufferevent_get_input(c.buffer.get())) == 0;
-  if (c.keep && whole) {
-    Rest(c);
+  connection.streaming = false;
+  const bool whole =
+      FullySent(connection) && evbuffer_get_length(bufferevent_get_input(connection.buffer.get())) == 0;
+  if (connection.keep && whole) {
+    MakeIdle(connection);
   } else {
-    Drop(c);
+    CloseConnection(connection);
   }
   engine_.AttemptEnded(attempt, std::move(end));
 }
 
-// Guards against a client that takes a value more slowly than its server gives it: past the window the
-// server's connection is not read, and the kernel holds the server back, until the client has taken
-// half of it. Looked at again every few milliseconds.
-void AttemptPool::AwaitRoom(Connection& c) {
-  bufferevent_disable(c.buffer.get(), EV_READ);
-  loop_.deadlines().Drop(c.deadline);
-  c.deadline = loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, place = c.self] {
-    place->deadline = {};
-    engine_.AttemptPiece(place->errand.attempt, {});
-    if (engine_.Backlog(place->errand.attempt) > limits_.stream_window / 2) return AwaitRoom(*place);
-    bufferevent_enable(place->buffer.get(), EV_READ);
-    Stream(*place);
+// Guards against a client that receives a value more slowly than the server sends it: past the window, the
+// server's connection is not read, so that TCP flow control holds the server back, until half of the window
+// was sent to the client. The backlog is checked again every 5 ms.
+void AttemptPool::PauseForBackpressure(Connection& connection) {
+  bufferevent_disable(connection.buffer.get(), EV_READ);
+  loop_.deadlines().Drop(connection.deadline);
+  connection.deadline =
+      loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, it = connection.self] {
+        it->deadline = {};
+        engine_.AttemptPiece(it->operation.attempt, {});
+        if (engine_.Backlog(it->operation.attempt) > limits_.stream_window / 2)
+          return PauseForBackpressure(*it);
+        bufferevent_enable(it->buffer.get(), EV_READ);
+        StreamValue(*it);
+      });
+}
+
+// Guards against an answer that states a larger length than is sent: nothing else would detect it before
+// the request's deadline, while a retry may still serve the request. If unread data waits in the kernel, it
+// is read first.
+void AttemptPool::SetAnswerDeadline(Connection& connection, Duration wait) {
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + wait, [this, it = connection.self] {
+    it->deadline = {};
+    if (HasUnreadInput(bufferevent_getfd(it->buffer.get())))
+      return SetAnswerDeadline(*it, limits_.answer / 4);
+    CloseWithResult(*it, Result::kSpoilt);
   });
 }
 
-// Guards against an answer that states more than is sent: nothing else would tell until the request's time
-// is up, while a repeat may still serve it. What waits in the kernel is read first.
-void AttemptPool::AwaitRest(Connection& c, Duration wait) {
-  c.deadline = loop_.deadlines().Set(loop_.Now() + wait, [this, place = c.self] {
-    place->deadline = {};
-    if (HasUnreadInput(bufferevent_getfd(place->buffer.get())))
-      return AwaitRest(*place, limits_.answer / 4);
-    Break(*place, Result::kSpoilt);
-  });
-}
-
-void AttemptPool::Rest(Connection& c) {
-  // Guards against a server that moved, or went, while this connection was at work: the next attempt for
-  // it must not go to where it was.
-  const Server* server = engine_.FindServer(c.server);
-  if (server->endpoint != c.endpoint || server->availability == beechledge::Availability::kRemoved) {
-    return Drop(c);
+void AttemptPool::MakeIdle(Connection& connection) {
+  // Guards against a server that moved or was removed while this connection was in use: its next attempt
+  // must not be sent to the old address.
+  const Server* server = engine_.FindServer(connection.server);
+  if (server->endpoint != connection.endpoint ||
+      server->availability == beechledge::Availability::kRemoved) {
+    return CloseConnection(connection);
   }
-  busy_.erase(c.errand.attempt);
-  loop_.deadlines().Drop(c.leaving);
-  c.errand = {};
-  c.written = false;
-  c.idle = true;
-  c.rested = loop_.Now();
-  idle_[c.server].push_back(c.self);
-  c.deadline = loop_.deadlines().Set(loop_.Now() + limits_.idle, [this, place = c.self] {
-    place->deadline = {};
-    Drop(*place);
+  busy_.erase(connection.operation.attempt);
+  loop_.deadlines().Drop(connection.send_deadline);
+  connection.operation = {};
+  connection.written = false;
+  connection.idle = true;
+  connection.idle_since = loop_.Now();
+  idle_[connection.server].push_back(connection.self);
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.idle, [this, it = connection.self] {
+    it->deadline = {};
+    CloseConnection(*it);
   });
 }
 
-void AttemptPool::Break(Connection& c, Result result) {
-  const AttemptId attempt = c.errand.attempt;
-  Drop(c);
+void AttemptPool::CloseWithResult(Connection& connection, Result result) {
+  const AttemptId attempt = connection.operation.attempt;
+  CloseConnection(connection);
   if (attempt == 0) return;
   AttemptEnd end;
   end.result = result;
   engine_.AttemptEnded(attempt, std::move(end));
 }
 
-void AttemptPool::Drop(Connection& c) {
-  loop_.deadlines().Drop(c.deadline);
-  loop_.deadlines().Drop(c.leaving);
-  if (c.idle) std::erase(idle_[c.server], c.self);
-  busy_.erase(c.errand.attempt);
+void AttemptPool::CloseConnection(Connection& connection) {
+  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Drop(connection.send_deadline);
+  if (connection.idle) std::erase(idle_[connection.server], connection.self);
+  busy_.erase(connection.operation.attempt);
   --budget_.open;
-  connections_.erase(c.self);
+  connections_.erase(connection.self);
 }
 
 bool AttemptPool::Abandon(AttemptId attempt) {
   const auto it = busy_.find(attempt);
   if (it == busy_.end()) return false;
-  Connection& c = *it->second;
-  const bool whole = c.buffer && LeftWhole(c);
-  Drop(c);
+  Connection& connection = *it->second;
+  const bool whole = connection.buffer && FullySent(connection);
+  CloseConnection(connection);
   return whole;
 }
 
 void AttemptPool::CloseIdle(ServerId server) {
   const auto it = idle_.find(server);
   if (it == idle_.end()) return;
-  while (!it->second.empty()) Drop(*it->second.back());
+  while (!it->second.empty()) CloseConnection(*it->second.back());
 }
 
 void AttemptPool::Forget(ServerId server) {
@@ -388,75 +407,76 @@
   idle_.erase(server);
 }
 
-// Room for one more connection: where the budget is spent, an idle one of any pool makes way. (Each pool
-// once looked at its own alone, and idle connections to cache servers could shut out the origin.)
-bool AttemptPool::MakeRoom() {
+// Makes room for one more connection: if the budget is used up, an idle connection of any pool is closed.
+// If each pool closed only its own, idle connections to cache servers could lock out the origin.
+bool AttemptPool::EnsureCapacity() {
   return budget_.open < limits_.attempt_conns ||
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
-                     [](AttemptPool* pool) { return pool->DropIdle(); });
+                     [](AttemptPool* pool) { return pool->CloseOneIdle(); });
 }
 
 void AttemptPool::Trim() {
   while (budget_.open > limits_.attempt_conns &&
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
-                     [](AttemptPool* pool) { return pool->DropIdle(); })) {
+                     [](AttemptPool* pool) { return pool->CloseOneIdle(); })) {
   }
 }
 
-bool AttemptPool::DropIdle() {
+bool AttemptPool::CloseOneIdle() {
   for (auto& [server, idle] : idle_) {
     if (idle.empty()) continue;
-    Drop(*idle.front());
+    CloseConnection(*idle.front());
     return true;
   }
   return false;
 }
 
-// ---- The two dialects ----
+// ---- The two protocols ----
 
-std::string CacheServerPool::Write(const Errand& errand, const Server&, Duration left) const {
-  if (!errand.request) return errand.load ? "stats load\r\n" : "mn\r\n";
-  return WriteAttempt(*errand.request, left);
+std::string CacheServerPool::Format(const Operation& operation, const Server&, Duration left) const {
+  if (!operation.request) return operation.load ? "stats load\r\n" : "mn\r\n";
+  return WriteAttempt(*operation.request, left);
 }
 
-Parsed CacheServerPool::ParseHead(std::string_view in, const Errand& errand, std::size_t& used,
+Parsed CacheServerPool::ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
                                   AttemptEnd& end, std::optional<std::uint64_t>& length,
                                   std::size_t& trailer, bool&) const {
   trailer = 2;
-  return ParseAttemptHead(in, *errand.request, limits(), used, end, length);
+  return ParseAttemptHead(in, *operation.request, limits(), used, end, length);
 }
 
-Parsed CacheServerPool::Parse(std::string_view in, const Errand& errand, InputEnd, std::size_t& used,
+Parsed CacheServerPool::Parse(std::string_view in, const Operation& operation, InputEnd, std::size_t& used,
                               AttemptEnd& end, bool&) const {
-  if (!errand.request) return ParseProbeReply(in, errand.load, limits(), used, end);
-  return ParseAttemptReply(in, *errand.request, limits(), used, end);
+  if (!operation.request) return ParseProbeReply(in, operation.load, limits(), used, end);
+  return ParseAttemptReply(in, *operation.request, limits(), used, end);
 }
 
-std::string OriginClient::Write(const Errand& errand, const Server& server, Duration left) const {
-  if (!errand.request) return WriteGet(server.endpoint, errand.load ? "/-/load" : "/-/healthy");
-  return WriteOriginAttempt(server.endpoint, *errand.request, left);
+std::string OriginClient::Format(const Operation& operation, const Server& server, Duration left) const {
+  if (!operation.request) return WriteGet(server.endpoint, operation.load ? "/-/load" : "/-/healthy");
+  return WriteOriginAttempt(server.endpoint, *operation.request, left);
 }
 
-Parsed OriginClient::ParseHead(std::string_view in, const Errand&, std::size_t& used, AttemptEnd& end,
+Parsed OriginClient::ParseHead(std::string_view in, const Operation&, std::size_t& used, AttemptEnd& end,
                                std::optional<std::uint64_t>& length, std::size_t& trailer,
                                bool& keep) const {
   HttpAnswer answer;
   trailer = 0;
   const Parsed got = ParseHttpHead(in, limits(), used, answer, length);
   if (got != Parsed::kDone) return got;
-  if (answer.status != 200) length.reset();  // only a value goes on in pieces
+  if (answer.status != 200) length.reset();  // only a value is streamed
   keep = answer.keep;
   end = ReadOriginProbe(answer);
   return got;
 }
 
-Parsed OriginClient::Parse(std::string_view in, const Errand& errand, InputEnd input, std::size_t& used,
-                           AttemptEnd& end, bool& keep) const {
+Parsed OriginClient::Parse(std::string_view in, const Operation& operation, InputEnd input,
+                           std::size_t& used, AttemptEnd& end, bool& keep) const {
   HttpAnswer answer;
   const Parsed got = ParseHttpAnswer(in, limits().value, limits(), input, used, answer);
   if (got != Parsed::kDone) return got;
   keep = answer.keep;
-  end = errand.request ? ReadOriginAnswer(std::move(answer), *errand.request) : ReadOriginProbe(answer);
+  end =
+      operation.request ? ReadOriginAnswer(std::move(answer), *operation.request) : ReadOriginProbe(answer);
   return got;
 }
 
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -1,5 +1,6 @@
-// The back ends: attempts on kept connections, one at a time on each. CacheServerPool speaks memcache to
-// the cache servers, OriginClient HTTP to the origin; the connections are kept and bounded alike.
+// The back ends: pools of persistent connections that carry attempts and probes, one at a time on each
+// connection. CacheServerPool speaks memcache to the cache servers, OriginClient HTTP to the origin; both
+// reuse and bound their connections in the same way.
 #ifndef BRASSWOOD_NET_ATTEMPT_POOL_H_
 #define BRASSWOOD_NET_ATTEMPT_POOL_H_
 
@@ -19,7 +20,7 @@
 
 class AttemptPool;
 
-// The connections to servers, over all pools of the process.
+// The number of connections to servers that are open, over all pools of the process.
 struct ConnBudget {
   std::size_t open = 0;
   std::vector<AttemptPool*> pools;
@@ -36,77 +37,78 @@
   bool Abandon(AttemptId attempt) override;
   void CloseIdle(ServerId server) override;
   void Forget(ServerId server) override;
-  // Closes idle connections of all pools until the budget is kept, where the limit has fallen.
+  // Closes idle connections of all pools until the number of open ones is within a limit that was lowered.
   void Trim();
 
  protected:
-  struct Errand {  // what a connection is on
+  struct Operation {  // the attempt or probe that a connection carries
     AttemptId attempt = 0;
-    std::shared_ptr<const RequestContent> request;  // empty: a probe
-    bool load = false;                              // of a probe: for the load report
+    std::shared_ptr<const RequestContent> request;  // empty for a probe
+    bool load = false;                              // of a probe: whether it asks for a load report
     Time until{0};
     Time sent_by{0};
   };
-  virtual std::string Write(const Errand& errand, const Server& server, Duration left) const = 0;
-  // `input`: whether the server has closed its side, which ends some answers. `keep`: the connection may be
-  // used again.
-  virtual Parsed Parse(std::string_view in, const Errand& errand, InputEnd input, std::size_t& used,
+  // The bytes to send. `left`: the time until which an answer is of use, as a duration from now.
+  virtual std::string Format(const Operation& operation, const Server& server, Duration left) const = 0;
+  // Parses a whole answer. `input`: whether the server has closed its side, which ends some answers.
+  // `keep`: whether the connection may be reused.
+  virtual Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
                        AttemptEnd& end, bool& keep) const = 0;
   const Limits& limits() const { return limits_; }
-  // The head of an answer to a read whose value may go on in pieces. kDone with `length`: the value's
-  // length, `used` up to its first byte, `trailer` the bytes after it (a CRLF, or none), `end` what the
-  // head says of the attempt; kDone without `length`: the answer is read whole by Parse. kMore, kBad as
-  // Parse.
-  virtual Parsed ParseHead(std::string_view in, const Errand& errand, std::size_t& used, AttemptEnd& end,
-                           std::optional<std::uint64_t>& length, std::size_t& trailer,
+  // Parses the head of an answer to a read whose value may be streamed. kDone with `length`: the value has
+  // that length and begins after `used` bytes, `trailer` is the number of bytes that follow it (a CRLF, or
+  // none), and `end` holds what the head states about the attempt. kDone without `length`: the answer is to
+  // be read whole by Parse. kMore and kBad as for Parse.
+  virtual Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
+                           AttemptEnd& end, std::optional<std::uint64_t>& length, std::size_t& trailer,
                            bool& keep) const = 0;
 
  private:
   struct Connection;
-  using Place = std::list<Connection>::iterator;
+  using ConnectionIt = std::list<Connection>::iterator;
   struct Connection {
     AttemptPool* pool = nullptr;
-    Place self;
+    ConnectionIt self;
     ServerId server = 0;
-    std::string endpoint;  // where it leads; the server may have moved since
+    std::string endpoint;  // the address it is connected to; the server may have moved since
     BufferPtr buffer;
-    bool up = false;
-    bool written = false;  // the errand's bytes are in the buffer, or gone
-    bool counted = false;  // its last byte has left, and the figures know
-    // Of an answer that goes on in pieces: the value's bytes still to come, then the trailer's.
+    bool connected = false;
+    bool written = false;        // the operation's bytes are in the output buffer, or were sent
+    bool sent_reported = false;  // the engine was told that the last byte was sent
+    // Of an answer that is streamed: the value bytes and the trailer bytes still to be received.
     bool streaming = false;
-    std::uint64_t left = 0;
+    std::uint64_t value_left = 0;
     std::size_t trailer = 0;
-    bool keep = true;
-    AttemptEnd head;  // what the answer's head said
+    bool keep = true;         // whether the connection may be reused after it
+    AttemptEnd streamed_end;  // what the answer's head stated
     bool idle = false;
-    Time rested{0};  // since when, if idle
-    Errand errand;
-    Deadlines::Id deadline;  // for coming up, for an answer begun, or for resting
-    Deadlines::Id leaving;   // for the errand's last byte
+    Time idle_since{0};
+    Operation operation;
+    Deadlines::Id deadline;       // to connect, for the rest of an answer, or to close when idle
+    Deadlines::Id send_deadline;  // for the operation's last byte to be sent
   };
 
-  void Begin(ServerId to, Errand errand);
-  bool Connect(Connection& c, const Server& server);
-  void WriteErrand(Connection& c);
-  void OnRead(Connection& c);
-  Parsed TakeAnswer(Connection& c, InputEnd input);
-  void OnWritten(Connection& c);
-  bool TryStream(Connection& c);
-  void Stream(Connection& c);
-  void Finish(Connection& c);
-  void AwaitRoom(Connection& c);
-  Connection* Rested(ServerId server);
-  void AwaitRest(Connection& c, Duration wait);
-  void OnEvent(Connection& c, short what);
-  bool TakeLastAnswer(Connection& c, short what);
-  void Rest(Connection& c);
-  // Takes the connection away, and ends its errand with `result` if it has one.
-  void Break(Connection& c, beechledge::Result result);
-  void Drop(Connection& c);
-  bool MakeRoom();
-  bool DropIdle();
-  static bool LeftWhole(const Connection& c);
+  void StartOperation(ServerId to, Operation operation);
+  bool Connect(Connection& connection, const Server& server);
+  void WriteOperation(Connection& connection);
+  void OnRead(Connection& connection);
+  Parsed HandleAnswer(Connection& connection, InputEnd input);
+  void OnWritten(Connection& connection);
+  bool TryStartStreaming(Connection& connection);
+  void StreamValue(Connection& connection);
+  void FinishStreaming(Connection& connection);
+  void PauseForBackpressure(Connection& connection);
+  Connection* TakeIdle(ServerId server);
+  void SetAnswerDeadline(Connection& connection, Duration wait);
+  void OnEvent(Connection& connection, short what);
+  bool HandleLastAnswer(Connection& connection, short what);
+  void MakeIdle(Connection& connection);
+  // Closes the connection and ends its operation, if it has one, with `result`.
+  void CloseWithResult(Connection& connection, beechledge::Result result);
+  void CloseConnection(Connection& connection);
+  bool EnsureCapacity();
+  bool CloseOneIdle();
+  static bool FullySent(const Connection& connection);
 
   Loop& loop_;
   Engine& engine_;
@@ -114,8 +116,8 @@
   Counters& counters_;
   ConnBudget& budget_;
   std::list<Connection> connections_;
-  std::unordered_map<AttemptId, Place> busy_;
-  std::unordered_map<ServerId, std::vector<Place>> idle_;  // the most recent one last
+  std::unordered_map<AttemptId, ConnectionIt> busy_;
+  std::unordered_map<ServerId, std::vector<ConnectionIt>> idle_;  // the most recently used one last
 };
 
 class CacheServerPool : public AttemptPool {
@@ -123,10 +125,10 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Errand& errand, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
-  std::string Write(const Errand& errand, const Server& server, Duration left) const override;
-  Parsed Parse(std::string_view in, const Errand& errand, InputEnd input, std::size_t& used,
+  std::string Format(const Operation& operation, const Server& server, Duration left) const override;
+  Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
                AttemptEnd& end, bool& keep) const override;
 };
 
@@ -135,10 +137,10 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Errand& errand, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
-  std::string Write(const Errand& errand, const Server& server, Duration left) const override;
-  Parsed Parse(std::string_view in, const Errand& errand, InputEnd input, std::size_t& used,
+  std::string Format(const Operation& operation, const Server& server, Duration left) const override;
+  Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
                AttemptEnd& end, bool& keep) const override;
 };
 
