--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -1,4 +1,4 @@
-// The ends of clients' connections: at rest, silent, sent away, closing, closed.
+// How client connections end: idle, timed out, evicted, drained, closing, closed.
 #include <sys/socket.h>
 
 #include <cerrno>
@@ -10,154 +10,162 @@
 
 namespace brasswood {
 
-// Guards against clients that hold a place and say nothing, or half a command: a command must be whole
-// soon after its connection, or its own first byte, came; and a connection at rest is given back.
-void ClientFront::Await(Client& s) {
-  loop_.deadlines().Drop(s.deadline);
-  // One that is owed an answer, or takes its time with one, is not silent.
-  if (!s.pending.empty() || evbuffer_get_length(bufferevent_get_output(s.buffer.get())) != 0) return;
-  const Time at = !s.used                ? s.active + limits_.speak
-                  : s.partial != Time(0) ? s.partial + limits_.speak
-                                         : loop_.Now() + limits_.rest;
-  if (s.used && s.partial == Time(0)) Rest(s);
-  s.deadline = loop_.deadlines().Set(at, [this, id = s.id] { Expire(id); });
+// Sets the timeout of a client. Guards against clients that occupy a place in the table without sending a
+// complete command: a command must be complete within Limits::speak after the connection was accepted or
+// after the command's first byte, and an idle connection is closed after Limits::rest.
+void ClientFront::SetTimeout(Client& client) {
+  loop_.deadlines().Drop(client.deadline);
+  // A client that waits for an answer, or is still receiving one, has no timeout here.
+  if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
+    return;
+  const Time at = !client.used                      ? client.last_active + limits_.speak
+                  : client.partial_since != Time(0) ? client.partial_since + limits_.speak
+                                                    : loop_.Now() + limits_.rest;
+  if (client.used && client.partial_since == Time(0)) EnterIdleQueue(client);
+  client.deadline = loop_.deadlines().Set(at, [this, id = client.id] { OnTimeout(id); });
 }
 
-// Guards against clients that take a new connection for each command and keep the old ones: they may hold
-// only so many, and with all of those at rest they have none left to ask on. So only a part of the table
-// may rest; past it the one that has rested longest is closed, soon after its answer. Those that have come
-// back from a rest before are clients that use their connections again: they have a larger part, or they
-// would find every third one closed.
-void ClientFront::Rest(Client& s) {
-  if (s.queue != nullptr) return;
-  s.queue = s.returned ? &again_ : &once_;
-  s.rested = loop_.Now();
-  s.place = s.queue->ids.insert(s.queue->ids.end(), s.id);
-  if (s.queue->ids.size() > s.queue->most && s.queue->trim == Deadlines::Id()) Trim(*s.queue);
+// Adds a client to its idle queue. Guards against clients that open a new connection for each command and
+// keep the old ones: the number of connections a client may hold is limited, and once all of them are idle
+// it cannot send another command. So only part of the table may be idle; beyond it the longest idle client
+// is closed, soon after its answer. Clients that have sent a command after being idle reuse their
+// connections: they have a larger part, because otherwise every third of their connections would be closed.
+void ClientFront::EnterIdleQueue(Client& client) {
+  if (client.idle_queue != nullptr) return;
+  client.idle_queue = client.reused ? &idle_reused_ : &idle_used_once_;
+  client.idle_since = loop_.Now();
+  client.idle_position = client.idle_queue->ids.insert(client.idle_queue->ids.end(), client.id);
+  if (client.idle_queue->ids.size() > client.idle_queue->max_size &&
+      client.idle_queue->eviction == Deadlines::Id())
+    EvictIdle(*client.idle_queue);
 }
 
-void ClientFront::Rouse(Client& s) {
-  if (s.queue != nullptr) s.queue->ids.erase(s.place);
-  s.queue = nullptr;
+void ClientFront::LeaveIdleQueue(Client& client) {
+  if (client.idle_queue != nullptr) client.idle_queue->ids.erase(client.idle_position);
+  client.idle_queue = nullptr;
 }
 
-void ClientFront::Trim(RestQueue& queue) {
-  queue.trim = {};
-  while (queue.ids.size() > queue.most) {
-    Client& s = **clients_.Find(queue.ids.front());
-    const Time due = s.rested + limits_.brief;
+void ClientFront::EvictIdle(IdleQueue& queue) {
+  queue.eviction = {};
+  while (queue.ids.size() > queue.max_size) {
+    Client& client = **clients_.Find(queue.ids.front());
+    const Time due = client.idle_since + limits_.brief;
     if (due > loop_.Now()) {
-      queue.trim = loop_.deadlines().Set(due, [this, &queue] { Trim(queue); });
+      queue.eviction = loop_.deadlines().Set(due, [this, &queue] { EvictIdle(queue); });
       return;
     }
-    if (HasUnreadInput(bufferevent_getfd(s.buffer.get()))) {  // it is about to be read
-      s.returned = true;
-      Rouse(s);
+    if (HasUnreadInput(bufferevent_getfd(client.buffer.get()))) {  // a command waits to be read
+      client.reused = true;
+      LeaveIdleQueue(client);
       continue;
     }
     ++counters_.made_way;
-    Part(s, ClientEnd::kMadeWay);
+    CloseGracefully(client, ClientEnd::kMadeWay);
   }
 }
 
-void ClientFront::Expire(std::uint64_t id) {
-  Client& s = **clients_.Find(id);
-  s.deadline = {};
-  // A loop that runs late finds deadlines due before it has read what came in time.
-  if (HasUnreadInput(bufferevent_getfd(s.buffer.get()))) {
-    s.deadline =
-        loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(50), [this, id] { Expire(id); });
+void ClientFront::OnTimeout(std::uint64_t id) {
+  Client& client = **clients_.Find(id);
+  client.deadline = {};
+  // If the loop runs late, this deadline may be due before data that arrived in time was read.
+  if (HasUnreadInput(bufferevent_getfd(client.buffer.get()))) {
+    client.deadline =
+        loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(50), [this, id] { OnTimeout(id); });
     return;
   }
-  if (s.partial == Time(0)) {
-    counters_.silent += !s.used;
-    return Part(s, s.used ? ClientEnd::kRested : ClientEnd::kSilent);
+  if (client.partial_since == Time(0)) {
+    counters_.silent += !client.used;
+    return CloseGracefully(client, client.used ? ClientEnd::kRested : ClientEnd::kSilent);
   }
   ++counters_.silent;
-  Closing(s, ClientEnd::kSilent);
-  Reply(s, "CLIENT_ERROR command not ended in time\r\n");
+  MarkClosing(client, ClientEnd::kSilent);
+  Reply(client, "CLIENT_ERROR command not ended in time\r\n");
 }
 
-// Ends a connection at rest. Guards against a command that crosses the end: closing at once would answer it
-// with a reset, and what the other side has not taken yet of its answers would go with it.
-void ClientFront::Part(Client& s, ClientEnd why) {
-  Closing(s, why);
-  HangUp(s);
+// Closes an idle connection gracefully. Guards against a command that crosses the close: closing at once
+// would answer it with a reset, and answers that the client has not received yet would be lost.
+void ClientFront::CloseGracefully(Client& client, ClientEnd why) {
+  MarkClosing(client, why);
+  LingeringClose(client);
 }
 
-// The first reason stands.
-void ClientFront::Closing(Client& s, ClientEnd why) {
-  if (s.closing) return;
-  s.closing = true;
-  s.why = why;
+// Marks the client as closing. Only the first reason counts.
+void ClientFront::MarkClosing(Client& client, ClientEnd why) {
+  if (client.closing) return;
+  client.closing = true;
+  client.close_reason = why;
 }
 
-// Ends a connection whose framing is lost, or that asked for it. Guards against errors that never arrive:
-// closing a socket with unread input sends a reset, which can destroy the answer on its way. So what still
-// comes is read and thrown away, the answers go out, the sending is shut, and the socket closes when the
-// client does, or a while later.
-void ClientFront::HangUp(Client& s) {
-  if (!s.discard) {
-    Rouse(s);
-    bufferevent_disable(s.buffer.get(), EV_READ);
-    evbuffer* in = bufferevent_get_input(s.buffer.get());
+// Performs a lingering close of a client that is closing. Guards against error messages that never arrive:
+// closing a socket with unread input sends a reset, which can destroy an answer in transit. So further
+// input is read and discarded, the answers are sent, the sending side is shut, and the socket is closed
+// when the client closes, or after Limits::hang_up.
+void ClientFront::LingeringClose(Client& client) {
+  if (!client.discard) {
+    LeaveIdleQueue(client);
+    bufferevent_disable(client.buffer.get(), EV_READ);
+    evbuffer* in = bufferevent_get_input(client.buffer.get());
     evbuffer_drain(in, evbuffer_get_length(in));
-    s.discard.reset(event_new(
-        loop_.base(), bufferevent_getfd(s.buffer.get()), EV_READ | EV_PERSIST,
+    client.discard.reset(event_new(
+        loop_.base(), bufferevent_getfd(client.buffer.get()), EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* p) {
-          static_cast<Client*>(p)->front->Discard(*static_cast<Client*>(p));
+          static_cast<Client*>(p)->front->DiscardInput(*static_cast<Client*>(p));
         },
-        &s));
-    event_add(s.discard.get(), nullptr);
-    loop_.deadlines().Drop(s.deadline);
+        &client));
+    event_add(client.discard.get(), nullptr);
+    loop_.deadlines().Drop(client.deadline);
   }
-  if (s.shut || !Idle(s)) return;
-  s.shut = true;
-  ::shutdown(bufferevent_getfd(s.buffer.get()), SHUT_WR);
-  s.deadline = loop_.deadlines().Set(loop_.Now() + limits_.hang_up,
-                                     [this, id = s.id] { Close(id, ClientEnd::kTakesNothing); });
+  if (client.write_shut || !IsIdle(client)) return;
+  client.write_shut = true;
+  ::shutdown(bufferevent_getfd(client.buffer.get()), SHUT_WR);
+  client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.hang_up,
+                                          [this, id = client.id] { Close(id, ClientEnd::kTakesNothing); });
 }
 
-// MSG_TRUNC lets the kernel drop the bytes without a copy: tens of megabytes may come.
-void ClientFront::Discard(Client& s) {
-  constexpr std::size_t kAtOnce = 1 << 20;
-  const ssize_t n = ::recv(bufferevent_getfd(s.buffer.get()), nullptr, kAtOnce, MSG_TRUNC | MSG_DONTWAIT);
+// MSG_TRUNC lets the kernel discard the bytes without copying them: tens of megabytes may arrive.
+void ClientFront::DiscardInput(Client& client) {
+  constexpr std::size_t kMaxBytesPerCall = 1 << 20;
+  const ssize_t n =
+      ::recv(bufferevent_getfd(client.buffer.get()), nullptr, kMaxBytesPerCall, MSG_TRUNC | MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-  if (n <= 0) return Close(s.id, ClientEnd::kByClient);
-  s.discarded += static_cast<std::size_t>(n);
-  if (s.discarded <= limits_.discard) return;
-  if (s.shut) return Close(s.id, s.why);
-  event_del(s.discard.get());  // it is still owed an answer: the rest waits in the kernel
-  LookForEnd(s);
+  if (n <= 0) return Close(client.id, ClientEnd::kByClient);
+  client.discarded_bytes += static_cast<std::size_t>(n);
+  if (client.discarded_bytes <= limits_.discard) return;
+  if (client.write_shut) return Close(client.id, client.close_reason);
+  event_del(client.discard.get());  // an answer is still pending: the rest of the input waits in the kernel
+  ScheduleCloseCheck(client);
 }
 
-// The one end of a client's connection. `why`: unless it was closing already, for a reason of its own.
+// Closes and removes a client; every client ends here. `why` is the reason, unless its sending side
+// had already been shut for another one.
 void ClientFront::Close(std::uint64_t id, ClientEnd why) {
-  auto* held = clients_.Find(id);
-  if (held == nullptr) return;
-  const std::unique_ptr<Client> s = std::move(*held);
+  auto* found = clients_.Find(id);
+  if (found == nullptr) return;
+  const std::unique_ptr<Client> client = std::move(*found);
   clients_.Remove(id);
-  const ClientEnd ended = s->closing && s->shut ? s->why : why;
+  const ClientEnd ended = client->closing && client->write_shut ? client->close_reason : why;
   ++counters_.clients_ended[static_cast<std::size_t>(ended)];
   LogLine(Level::kDebug) << "client " << id
-                         << " closed: " << kClientEndNames[static_cast<std::size_t>(ended)] << ", owed "
-                         << s->pending.size();
+                         << " closed: " << kClientEndNames[static_cast<std::size_t>(ended)]
+                         << ", pending: " << client->pending.size();
   const bool by_client = ended == ClientEnd::kByClient || ended == ClientEnd::kTakesNothing;
-  const std::string_view owed = s->pending.empty() ? std::string_view() : s->pending.front().id;
-  counters_.invariants.Expect(by_client || s->pending.empty(), Invariant::kAnsweredBeforeEnd, owed);
-  loop_.deadlines().Drop(s->deadline);
-  loop_.deadlines().Drop(s->look);
-  Rouse(*s);
-  s->discard.reset();
-  s->buffer.reset();
-  GiveUpPending(*s);
+  const std::string_view unanswered =
+      client->pending.empty() ? std::string_view() : client->pending.front().id;
+  counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeEnd,
+                              unanswered);
+  loop_.deadlines().Drop(client->deadline);
+  loop_.deadlines().Drop(client->close_check);
+  LeaveIdleQueue(*client);
+  client->discard.reset();
+  client->buffer.reset();
+  CancelPending(*client);
 }
 
-// What is still owed to a client that takes no more answers is given up.
-void ClientFront::GiveUpPending(Client& s) {
-  const std::deque<Pending> pending = std::exchange(s.pending, {});
-  s.first += pending.size();
-  s.held = 0;
+// Cancels everything that is pending for a client that can receive no more answers.
+void ClientFront::CancelPending(Client& client) {
+  const std::deque<Pending> pending = std::exchange(client.pending, {});
+  client.first_number += pending.size();
+  client.held_bytes = 0;
   for (const Pending& p : pending) {
     if (p.ticket != 0) tickets_.Remove(p.ticket);
     if (p.request != 0) engine_.ClientGone(p.request);
@@ -165,23 +173,23 @@
 }
 
 void ClientFront::Reshare() {
-  once_.most = limits_.resting;
-  again_.most = limits_.resting_again;
-  if (once_.trim == Deadlines::Id()) Trim(once_);
-  if (again_.trim == Deadlines::Id()) Trim(again_);
+  idle_used_once_.max_size = limits_.resting;
+  idle_reused_.max_size = limits_.resting_again;
+  if (idle_used_once_.eviction == Deadlines::Id()) EvictIdle(idle_used_once_);
+  if (idle_reused_.eviction == Deadlines::Id()) EvictIdle(idle_reused_);
 }
 
 void ClientFront::SendAway(bool on) {
-  if (sending_away_ == on) return;
-  sending_away_ = on;
-  if (on) WakeAll();
+  if (draining_ == on) return;
+  draining_ = on;
+  if (on) AdvanceAll();
 }
 
-// Each ends, if it is idle and has to; the table changes meanwhile.
-void ClientFront::WakeAll() {
+// The ids are copied first, because Advance may remove clients from the table.
+void ClientFront::AdvanceAll() {
   std::vector<std::uint64_t> all;
   clients_.Each([&](std::uint64_t id, auto&) { all.push_back(id); });
-  for (const std::uint64_t id : all) Wake(id);
+  for (const std::uint64_t id : all) Advance(id);
 }
 
 }  // namespace brasswood
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -1,5 +1,5 @@
-// The front for clients: memcache meta commands on kept connections. Commands may be pipelined; their
-// requests begin at once, and the answers go out in the order of the commands.
+// The front end for clients: memcache meta commands on persistent connections. Commands may be pipelined:
+// each request starts at once, and the answers are sent in the order of the commands.
 #ifndef BRASSWOOD_NET_CLIENT_FRONT_H_
 #define BRASSWOOD_NET_CLIENT_FRONT_H_
 
@@ -22,7 +22,7 @@
 
 class ClientFront : public Front {
  public:
-  // Listens from now on; throws where it cannot.
+  // Starts to listen on `address`; throws if that fails.
   ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names, Counters& counters,
               const std::string& address);
   ~ClientFront() override;
@@ -33,38 +33,40 @@
   bool Present(std::uint64_t ticket) const override;
   std::size_t Backlog(std::uint64_t ticket) const override;
 
-  // Begins the shutdown (core/shutdown.h): each connection closes as it falls idle, the listener closes at
-  // the last moment for new work, and `done` is called once nothing is left to answer, or its time is up.
+  // Begins the graceful shutdown (core/shutdown.h): each connection closes when it becomes idle, the
+  // listener closes at the last moment for new work, and `done` is called once nothing is left to answer or
+  // the time for the shutdown is up.
   void Stop(std::function<void()> done);
 
-  // Operators' drain: `mn` is answered as not ready, and each connection closes once it has fallen idle,
-  // its answers out and nothing more sent; new ones are still taken and served alike. Off again: as before.
+  // Drains the router for operators: `mn` is answered as not ready, and each connection closes once it is
+  // idle, with all answers sent and no further command received. New connections are still accepted and
+  // served in the same way. `on` false ends the drain.
   void SendAway(bool on);
-  // Does `mn` say yes? Not while sending away. (After SIGTERM it does for the half second that the
-  // listener stays open, as before the door: the front moves on by the process's end.)
-  bool Welcoming() const { return !sending_away_ && engine_.ready(); }
-  // Is this process ready to serve? Not while sending away, nor once SIGTERM came.
-  bool Ready() const { return Welcoming() && !shutdown_.begun(); }
+  // Whether `mn` is answered as ready: not while draining. After SIGTERM it still is, for the half second
+  // in which the listener stays open; load balancers notice the end of the process instead.
+  bool ReportsReady() const { return !draining_ && engine_.ready(); }
+  // Whether this process is ready to serve: not while draining, and not after SIGTERM.
+  bool Ready() const { return ReportsReady() && !shutdown_.begun(); }
 
-  // The limits have changed (a replacement shares them): idle connections past the new ones make way.
+  // Applies changed limits (a replacement process shares them): closes idle connections beyond them.
   void Reshare();
 
   std::size_t clients() const { return clients_.size(); }
-  std::uint16_t port() const;  // that it listens on
+  std::uint16_t port() const;  // the port it listens on
 
  private:
-  struct RestQueue {  // clients with nothing open: the longest first
+  struct IdleQueue {  // clients without an open request, the longest idle first
     std::list<std::uint64_t> ids;
-    std::size_t most = 0;  // past it, and `brief`, they give way
-    Deadlines::Id trim;
+    std::size_t max_size = 0;  // beyond it, the longest idle are closed after Limits::brief
+    Deadlines::Id eviction;
   };
-  struct Pending {  // a command whose answer has not gone out
+  struct Pending {  // a command whose answer was not fully sent yet
     RequestId request = 0;
-    std::uint64_t ticket = 0;  // while its answer is owed by the engine; 0: it is not
+    std::uint64_t ticket = 0;  // set while the engine still has to answer; otherwise 0
     std::string id;
     bool answered = false;
-    bool open = false;    // a value going on in pieces: what is in `text` may go out before the rest
-    bool broken = false;  // such a value that cannot be finished
+    bool streaming = false;  // a streamed value: what `text` holds may be sent before the rest arrives
+    bool truncated = false;  // a streamed value that cannot be completed
     std::string text;
   };
   struct Client {
@@ -72,69 +74,69 @@
     std::uint64_t id = 0;
     BufferPtr buffer;
     std::deque<Pending> pending;
-    std::uint64_t first = 0;  // the number of the front of `pending`
-    std::size_t held = 0;     // bytes of answers in `pending` that wait for one before them
-    Time active{0};           // when it last sent a command, or connected
-    Time partial{0};          // since when it has been sending a command; 0: it is not
-    bool used = false;        // has sent a command
-    // Of one that may have waited in the queue of a paused listener: the earliest moment at which what its
-    // first read finds can have come; 0: none.
+    std::uint64_t first_number = 0;  // the sequence number of pending.front()
+    std::size_t held_bytes = 0;      // answer bytes in `pending` that wait for an earlier answer
+    Time last_active{0};             // when it last sent a command, or connected
+    Time partial_since{0};           // when the command it is sending began; 0: it is not sending one
+    bool used = false;               // has sent a command
+    // Of a client that may have waited in the accept queue of a paused listener: the earliest time at which
+    // the data of its first read can have arrived; otherwise 0.
     Time queued_since{0};
-    bool closing = false;                  // its commands count no more, and it closes when all is answered
-    ClientEnd why = ClientEnd::kByClient;  // of one that is closing
-    bool shut = false;                     // all is answered, and it has been told that no more comes
-    bool paused = false;                   // not read until it has taken some answers
-    bool resumed = false;                  // what is read now waited behind its own answers
-    bool woken = false;                    // a turn of Wake is due
-    bool cut = false;  // a value was cut: nothing more goes out, and the rest is given up
-    EventPtr discard;  // of one that is closing: reads on and throws away
-    std::size_t discarded = 0;
-    RestQueue* queue = nullptr;                // where it rests; null: it does not
-    std::list<std::uint64_t>::iterator place;  // in it
-    Deadlines::Id look;                        // of one that is not read: for its going
-    bool returned = false;                     // has sent a command after a rest
-    Time rested{0};                            // since when
-    Deadlines::Id deadline;                    // for its next command, or for its own close
+    bool closing = false;  // further commands are ignored; it closes once everything is answered
+    ClientEnd close_reason = ClientEnd::kByClient;  // of a client that is closing
+    bool write_shut = false;                        // everything is answered and the sending side was shut
+    bool read_paused = false;                       // not read until some of its answers were sent
+    bool read_resumed = false;  // data read now may have waited for the client's own answers
+    bool advance_due = false;   // a call of Advance is scheduled
+    bool cut_off = false;       // a value was truncated: nothing more is sent, the rest is cancelled
+    EventPtr discard;           // of a client that is closing: reads further input and discards it
+    std::size_t discarded_bytes = 0;
+    IdleQueue* idle_queue = nullptr;  // null unless idle
+    std::list<std::uint64_t>::iterator idle_position;
+    Deadlines::Id close_check;  // of a client that is not read: the next check whether it has closed
+    bool reused = false;        // has sent a command after being idle
+    Time idle_since{0};
+    Deadlines::Id deadline;  // for its next command, or for closing its side
   };
-  struct Ticket {  // where a request's answer goes
+  struct Ticket {  // the client and the command that a request's answer is for
     std::uint64_t client = 0;
     std::uint64_t number = 0;
   };
 
   void Accept(evutil_socket_t fd);
-  void MakeRoom();
-  static bool Idle(const Client& s);
-  void AcceptFailed();
-  void Pause(Duration pause);
-  void Resume();
-  void Read(Client& s);
-  void Begin(Client& s, RequestContent content);
-  Time Arrived(const Client& s);
-  void Reply(Client& s, std::string text);
-  void Flush(Client& s);
-  Pending* PendingOf(std::uint64_t ticket, Client*& s);
-  bool Full(const Client& s) const;
-  void Wake(std::uint64_t id);
-  void WakeAll();
-  void LookForEnd(Client& s);
-  void Await(Client& s);
-  void Rest(Client& s);
-  void Rouse(Client& s);
-  void Trim(RestQueue& queue);
-  void Expire(std::uint64_t id);
-  void Part(Client& s, ClientEnd why);
-  void Closing(Client& s, ClientEnd why);
-  void HangUp(Client& s);
-  void Discard(Client& s);
-  int WayRank(const Client& s, Time now) const;
+  void EvictIfFull();
+  static bool IsIdle(const Client& client);
+  void OnAcceptFailed();
+  void PauseAccepting(Duration pause);
+  void ResumeAccepting();
+  void ReadCommands(Client& client);
+  void StartRequest(Client& client, RequestContent content);
+  Time ArrivalTime(const Client& client);
+  void Reply(Client& client, std::string text);
+  void Flush(Client& client);
+  Pending* FindPending(std::uint64_t ticket, Client*& client);
+  bool IsFull(const Client& client) const;
+  void Advance(std::uint64_t id);
+  void AdvanceAll();
+  void ScheduleCloseCheck(Client& client);
+  void SetTimeout(Client& client);
+  void EnterIdleQueue(Client& client);
+  void LeaveIdleQueue(Client& client);
+  void EvictIdle(IdleQueue& queue);
+  void OnTimeout(std::uint64_t id);
+  void CloseGracefully(Client& client, ClientEnd why);
+  void MarkClosing(Client& client, ClientEnd why);
+  void LingeringClose(Client& client);
+  void DiscardInput(Client& client);
+  int EvictionRank(const Client& client, Time now) const;
   void Close(std::uint64_t id, ClientEnd why);
-  void GiveUpPending(Client& s);
-  void RefuseLate(Client& s, const std::string& request);
-  bool TakeWaiting();
+  void CancelPending(Client& client);
+  void RefuseRequest(Client& client, const std::string& request);
+  bool AcceptQueued();
   void StopListening();
-  void StopNow();
-  void EndWhenQuiet(bool quiet_before);
-  bool Quiet();
+  void ForceStop();
+  void StopWhenDone(bool done_before);
+  bool IsDone();
 
   Loop& loop_;
   Engine& engine_;
@@ -143,16 +145,16 @@
   Counters& counters_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   bool listening_ = true;
-  int accepts_failed_ = 0;     // in a row
-  Time paused_since_{0};       // the queue was last known to be empty then; 0: it is
-  Deadlines::Id queue_empty_;  // after a pause: nothing of it is left
+  int accept_failures_ = 0;             // consecutive
+  Time accept_queue_empty_at_{0};       // when the accept queue was last known to be empty; 0: it is empty
+  Deadlines::Id accept_queue_drained_;  // after a pause: every connection that was queued is accepted
   Slots<std::unique_ptr<Client>> clients_;
   Slots<Ticket> tickets_;
-  RestQueue once_, again_;  // by whether they have returned from a rest before
+  IdleQueue idle_used_once_, idle_reused_;  // by Client::reused
   Shutdown shutdown_;
   bool listener_closed_ = false;
-  bool sending_away_ = false;
-  std::function<void()> stopped_;
+  bool draining_ = false;
+  std::function<void()> on_stopped_;
 };
 
 }  // namespace brasswood
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -1,4 +1,4 @@
-// The shutdown of the clients' front, by the state machine of core/shutdown.h.
+// The graceful shutdown of the client front end, driven by the state machine of core/shutdown.h.
 #include <sys/socket.h>
 
 #include <cerrno>
@@ -13,19 +13,20 @@
 void ClientFront::Stop(std::function<void()> done) {
   if (shutdown_.begun()) return;
   shutdown_.Begin(loop_.EarliestArrival());
-  stopped_ = std::move(done);
-  WakeAll();
+  on_stopped_ = std::move(done);
+  AdvanceAll();
   loop_.deadlines().Set(shutdown_.last_new_work(), [this] { StopListening(); });
-  loop_.deadlines().Set(shutdown_.time_up(), [this] { StopNow(); });
+  loop_.deadlines().Set(shutdown_.time_up(), [this] { ForceStop(); });
 }
 
-// Connections that the kernel has taken count as taken by the router: none is left behind in the queue of a
-// closing listener. They are answered and then closed like the others. False: some may be left, for want of
-// descriptors or memory (accept(2) names further errors, of the connection itself, that are passed over).
-bool ClientFront::TakeWaiting() {
-  constexpr int kMostErrors = 64;
+// Accepts the connections in the accept queue, so that closing the listener resets none of them: their
+// clients see them as established. They are answered and then closed like the others. Returns false if some
+// may be left for lack of descriptors or memory. Other errors of accept(2) concern a single connection and
+// are skipped.
+bool ClientFront::AcceptQueued() {
+  constexpr int kMaxErrors = 64;
   const evutil_socket_t listening = evconnlistener_get_fd(listener_.get());
-  for (int errors = 0; errors < kMostErrors;) {
+  for (int errors = 0; errors < kMaxErrors;) {
     const int fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       Accept(fd);
@@ -40,48 +41,48 @@
 
 void ClientFront::StopListening() {
   if (listener_closed_) return;
-  const bool taken = TakeWaiting();
-  if (!taken && shutdown_.At(loop_.Now()) != Shutdown::Phase::kTimeUp) {
-    constexpr std::chrono::milliseconds kAgain(10);
-    loop_.deadlines().Set(loop_.Now() + kAgain, [this] { StopListening(); });
+  const bool queue_empty = AcceptQueued();
+  if (!queue_empty && shutdown_.At(loop_.Now()) != Shutdown::Phase::kTimeUp) {
+    constexpr std::chrono::milliseconds kRetryPause(10);
+    loop_.deadlines().Set(loop_.Now() + kRetryPause, [this] { StopListening(); });
     return;
   }
   listener_closed_ = true;
   listener_.reset();
   LogLine(Level::kInfo) << "no new work from now on; open requests: " << engine_.open_requests()
                         << ", clients: " << clients_.size();
-  EndWhenQuiet(false);
+  StopWhenDone(false);
 }
 
-// The time of the shutdown is up: what is open is failed, so that each request has its answer, and the
-// process ends a moment later, whatever its clients take of it.
-void ClientFront::StopNow() {
+// The time for the shutdown is up: open requests are failed, so that each one is answered, and the process
+// ends after Limits::last_words, whether or not the clients have received their answers.
+void ClientFront::ForceStop() {
   StopListening();
   const std::size_t failed = engine_.FailAll();
   counters_.failed_stopping += failed;
   LogLine(failed == 0 ? Level::kInfo : Level::kWarn)
       << "the shutdown's time is up; requests failed: " << failed << ", clients: " << clients_.size();
-  loop_.deadlines().Set(loop_.Now() + limits_.last_words, [this] { stopped_(); });
+  loop_.deadlines().Set(loop_.Now() + limits_.last_words, [this] { on_stopped_(); });
 }
 
-// Looks again and again until two looks in a row, a short while apart, find nothing open: what was on its
-// way when the listener closed is still read and answered, and what was answered is taken (a client that
-// takes nothing is closed after Limits::hang_up).
-void ClientFront::EndWhenQuiet(bool quiet_before) {
-  const bool quiet = Quiet();
-  if (quiet && quiet_before) return stopped_();
-  constexpr std::chrono::milliseconds kBetween(25);
-  loop_.deadlines().Set(loop_.Now() + kBetween, [this, quiet] { EndWhenQuiet(quiet); });
+// Checks repeatedly until two consecutive checks, 25 ms apart, find nothing open, and then ends the
+// shutdown: what was in transit when the listener closed is still read and answered, and the answers are
+// received (a client that receives nothing is closed after Limits::hang_up).
+void ClientFront::StopWhenDone(bool done_before) {
+  const bool done = IsDone();
+  if (done && done_before) return on_stopped_();
+  constexpr std::chrono::milliseconds kCheckInterval(25);
+  loop_.deadlines().Set(loop_.Now() + kCheckInterval, [this, done] { StopWhenDone(done); });
 }
 
-// Is nothing owed to anybody any more? A connection that has not spoken yet is waited for as at any other
-// time (Limits::speak): a close that crosses its first command would lose that one.
-bool ClientFront::Quiet() {
-  bool quiet = engine_.open_requests() == 0;
-  clients_.Each([&quiet](std::uint64_t, const auto& s) {
-    quiet = quiet && s->shut && UnacknowledgedBytes(bufferevent_getfd(s->buffer.get())) == 0;
+// Whether no request is open and every answer was received. A connection that has not sent a command yet is
+// waited for as at any other time (Limits::speak): a close that crosses its first command would lose it.
+bool ClientFront::IsDone() {
+  bool done = engine_.open_requests() == 0;
+  clients_.Each([&done](std::uint64_t, const auto& client) {
+    done = done && client->write_shut && UnacknowledgedBytes(bufferevent_getfd(client->buffer.get())) == 0;
   });
-  return quiet;
+  return done;
 }
 
 }  // namespace brasswood
