--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -17,7 +17,8 @@
 RefreshLimits LimitsFor(const Limits& limits, const beechledge::Settings& settings, double phase) {
   const auto part = [phase](Duration whole) { return std::chrono::duration_cast<Duration>(phase * whole); };
   RefreshLimits refresh;
-  // Routers that began together would be answered, and found forsaken, together.
+  // Spread by router: otherwise the watches of routers that started together would be answered, and would
+  // time out, at the same time.
   refresh.watch = limits.watch - part(limits.watch_spread);
   refresh.watch_grace = limits.call_grace;
   refresh.connect = limits.call_up;
@@ -59,24 +60,24 @@
       engine_(engine),
       limits_(limits),
       names_(settings.names),
-      began_(loop.Now()),
+      started_(loop.Now()),
       drain_grace_(settings.module.rules.drain_grace),
       addresses_{{0, std::move(address)}},
       refresher_(LimitsFor(limits, settings.module, phase), beechledge::ListCalls(settings.module),
                  VersionHeld(known), static_cast<std::uint64_t>(phase * 1e9)) {}
 
-// Like every other call of the engine's, these answer later, never from inside.
+// Like all calls of the engine to its back ends, these must not call the engine back before they return.
 void DiscoveryWatch::Follow(bool on) {
   if (!on) return;
   ListActions actions;
   refresher_.Follow(loop_.Now(), actions);
-  Carry(actions);
+  ExecuteActions(actions);
 }
 
 void DiscoveryWatch::FetchAll() {
   ListActions actions;
   refresher_.AskWhole(loop_.Now(), actions);
-  Carry(actions);
+  ExecuteActions(actions);
 }
 
 void DiscoveryWatch::MoveTo(const std::string& address) {
@@ -86,7 +87,7 @@
   addresses_[source] = address;
   ListActions actions;
   refresher_.Move(loop_.Now(), source, actions);
-  Carry(actions);
+  ExecuteActions(actions);
   std::erase_if(addresses_, [this](const auto& named) {
     const SourceId source_of = named.first;
     return source_of != refresher_.current() && source_of != refresher_.target() &&
@@ -96,33 +97,34 @@
 
 // ---- Actions ----
 
-void DiscoveryWatch::Carry(ListActions actions) {
+void DiscoveryWatch::ExecuteActions(ListActions actions) {
   while (!actions.empty()) {
     for (const ListAction& action : std::exchange(actions, {})) {
-      std::visit([this](const auto& a) { Do(a); }, action);
+      std::visit([this](const auto& a) { Execute(a); }, action);
     }
-    for (const CallId id : std::exchange(unconnected_, {})) {
+    for (const CallId id : std::exchange(failed_connects_, {})) {
       ++counters_.ended[static_cast<std::size_t>(CallEnd::kNoDescriptor)];
       refresher_.Failed(loop_.Now(), id, CallEnd::kNoDescriptor, actions);
     }
   }
-  kept_.reset();
-  Arm();
+  reusable_.reset();
+  SetTimer();
 }
 
-void DiscoveryWatch::Do(const OpenCall& action) {
+void DiscoveryWatch::Execute(const OpenCall& action) {
   auto call = std::make_unique<Call>(*this, action, loop_.Now());
-  if (action.reuse != 0 && action.reuse == kept_of_ && kept_) {
-    call->buffer = std::move(kept_);
+  if (action.reuse != 0 && action.reuse == reusable_call_ && reusable_) {
+    call->buffer = std::move(reusable_);
     call->connected = true;
-    Listen(*call);
+    SetCallbacks(*call);
     refresher_.Connected(loop_.Now(), action.id);
   } else if (!Connect(*call)) {
-    if (!std::exchange(lacking_, true)) LogLine(Level::kWarn) << "discovery: cannot connect, tried again";
-    unconnected_.push_back(action.id);
+    if (!std::exchange(connect_failing_, true))
+      LogLine(Level::kWarn) << "discovery: cannot connect, tried again";
+    failed_connects_.push_back(action.id);
     return;
   }
-  lacking_ = false;
+  connect_failing_ = false;
   ++counters_.calls;
   const std::string& address = addresses_.at(action.source);
   const std::string path = ListPath(action.since, action.wait);
@@ -132,7 +134,7 @@
   calls_[action.id] = std::move(call);
 }
 
-void DiscoveryWatch::Do(const CloseCall& action) {
+void DiscoveryWatch::Execute(const CloseCall& action) {
   ++counters_.ended[static_cast<std::size_t>(action.why)];
   const auto call = calls_.find(action.id);
   if (call == calls_.end()) return;
@@ -145,7 +147,7 @@
   }
 }
 
-void DiscoveryWatch::Do(const StateChanged& action) {
+void DiscoveryWatch::Execute(const StateChanged& action) {
   const auto age = ListAge();
   LogLine line(Level::kInfo);
   line << "discovery: list " << kListStateNames[static_cast<std::size_t>(action.from)] << " -> "
@@ -153,7 +155,7 @@
   if (age) line << ", age " << AgeInMs(age) << " ms";
 }
 
-void DiscoveryWatch::Arm() {
+void DiscoveryWatch::SetTimer() {
   loop_.deadlines().Drop(deadline_);
   const Time next = refresher_.Next();
   if (next == Time::max()) return;
@@ -161,20 +163,20 @@
     deadline_ = {};
     ListActions actions;
     refresher_.Wake(loop_.Now(), actions);
-    Carry(actions);
+    ExecuteActions(actions);
   });
 }
 
 // ---- Connections ----
 
-// False where this process has no connection to make now (no descriptor, no route).
+// Returns false if no connection can be attempted now (no descriptor, no route).
 bool DiscoveryWatch::Connect(Call& call) {
   const auto to = ParseAddress(addresses_.at(call.origin.source));
   call.buffer.reset(
       bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   if (!to || !call.buffer) return false;
   bufferevent* const buffer = call.buffer.get();
-  Listen(call);
+  SetCallbacks(call);
   bufferevent_setwatermark(buffer, EV_READ, 0, limits_.list + limits_.http_head);
   bufferevent_enable(buffer, EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(buffer, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0)
@@ -185,7 +187,7 @@
   return true;
 }
 
-void DiscoveryWatch::Listen(Call& call) {
+void DiscoveryWatch::SetCallbacks(Call& call) {
   bufferevent_setcb(
       call.buffer.get(),
       [](bufferevent*, void* at) {
@@ -202,95 +204,98 @@
 
 void DiscoveryWatch::OnRead(CallId id) {
   Call& call = *calls_.at(id);
-  // A callback that was put off for the call before, on the same connection, finds nothing.
+  // A deferred callback of the previous call on the same connection finds no input.
   if (evbuffer_get_length(bufferevent_get_input(call.buffer.get())) == 0) return;
-  call.first_byte = std::min(call.first_byte, loop_.EarliestArrival());
-  if (TakeAnswer(call, InputEnd::kOpen) != Parsed::kMore) return;
+  call.first_byte_at = std::min(call.first_byte_at, loop_.EarliestArrival());
+  if (HandleAnswer(call, InputEnd::kOpen) != Parsed::kMore) return;
   refresher_.Progress(loop_.Now(), id);
-  Arm();
+  SetTimer();
 }
 
 void DiscoveryWatch::OnEvent(CallId id, short what) {
   if (what & BEV_EVENT_CONNECTED) {
     refresher_.Connected(loop_.Now(), id);
     calls_.at(id)->connected = true;
-    return Arm();
+    return SetTimer();
   }
   // An orderly close ends an answer that states no length.
-  if ((what & BEV_EVENT_EOF) && TakeAnswer(*calls_.at(id), InputEnd::kClosed) != Parsed::kMore) return;
+  if ((what & BEV_EVENT_EOF) && HandleAnswer(*calls_.at(id), InputEnd::kClosed) != Parsed::kMore) return;
   const bool connected = calls_.at(id)->connected;
   Fail(id, connected ? CallEnd::kBroken : CallEnd::kNotConnected);
 }
 
 // ---- Answers ----
 
-// kMore: it is not whole yet. Otherwise the call has ended, in one way or another.
-Parsed DiscoveryWatch::TakeAnswer(Call& call, InputEnd input) {
+// kMore: the answer is not complete yet. Otherwise the call has ended, successfully or not.
+Parsed DiscoveryWatch::HandleAnswer(Call& call, InputEnd input) {
   evbuffer* const in = bufferevent_get_input(call.buffer.get());
   Parsed got = call.answer.Feed(Gathered(call.buffer.get()));
   evbuffer_drain(in, evbuffer_get_length(in));
   if (got == Parsed::kMore && input == InputEnd::kClosed) got = call.answer.End();
   if (got == Parsed::kMore) {
-    TakeEntries(call);
+    HandleEntries(call);
   } else if (got == Parsed::kBad) {
     Fail(call.id, CallEnd::kBadAnswer);
   } else {
-    // Guards against what comes beyond an answer, which would pass for the start of the next one.
+    // Guards against bytes after an answer, which would be parsed as the start of the next one.
     const bool keep = call.answer.answer().keep && input != InputEnd::kClosed && call.answer.surplus() == 0;
-    TakeList(call, keep);
+    HandleList(call, keep);
   }
   return got;
 }
 
-// From where, and of when, what has just come of this call is. All of an answer may have been written when
-// its first byte was; where it may have been written long before, a drain has no grace left.
-ListOrigin DiscoveryWatch::OriginNow(const Call& call) const {
+// The source and the times of the data just received for this call. The whole answer may have been written
+// when its first byte was, so that time counts. If the answer may have been written long before it arrived,
+// it is dated back by half the drain's grace period, so that a drain in it has no grace left.
+ListOrigin DiscoveryWatch::CurrentOrigin(const Call& call) const {
   ListOrigin origin = call.origin;
   origin.arrived = loop_.EarliestArrival();
-  origin.told = refresher_.Undisturbed(call.id) ? std::min(origin.arrived, call.first_byte)
+  origin.told = refresher_.Undisturbed(call.id) ? std::min(origin.arrived, call.first_byte_at)
                                                 : loop_.Now() - drain_grace_ / 2;
   return origin;
 }
 
-// Guards against a drain whose entry is here while the rest of its answer takes its time.
-void DiscoveryWatch::TakeEntries(Call& call) {
+// Applies the entries received so far. Guards against a drain that is applied late because the rest of its
+// answer arrives slowly.
+void DiscoveryWatch::HandleEntries(Call& call) {
   if (call.answer.answer().status != 200) return;
   call.list.Feed(call.answer.answer().body);
   const auto part = call.list.TakeCompletedEntries();
   if (!part) return;
-  counters_.partial += !std::exchange(call.used_in_part, true);
-  engine_.ToldInPart(*part, OriginNow(call));
+  counters_.partial += !std::exchange(call.partially_used, true);
+  engine_.ToldInPart(*part, CurrentOrigin(call));
 }
 
-void DiscoveryWatch::TakeList(Call& call, bool keep) {
+void DiscoveryWatch::HandleList(Call& call, bool keep) {
   const CallId id = call.id;
   const HttpAnswer answer = call.answer.TakeAnswer();
   if (answer.status != 200) return Fail(id, CallEnd::kRefused, "status " + std::to_string(answer.status));
   std::string why;
   const auto list = ReadServerList(answer.body, names_, limits_, why);
   if (!list) return Fail(id, CallEnd::kBadAnswer, "server list refused: " + why);
-  const ListOrigin origin = OriginNow(call);
+  const ListOrigin origin = CurrentOrigin(call);
   const ListVerdict verdict = engine_.directory().Judge(*list, origin);
   if (verdict != ListVerdict::kTaken && verdict != ListVerdict::kRestartTaken) {
-    const std::string what =
+    const std::string received =
         (list->all ? "a list of version " : "changes of version ") + std::to_string(list->rev);
     if (verdict == ListVerdict::kNoBase) {
-      Fail(id, CallEnd::kNoBase, what + ", asked for from a version that is not held");
+      Fail(id, CallEnd::kNoBase, received + ", asked for from a version that is not held");
     } else {
-      Fail(id, CallEnd::kOlderList, what + ", older than what is held");
+      Fail(id, CallEnd::kOlderList, received + ", older than what is held");
     }
     engine_.Told(*list, origin);
     return;
   }
   ++counters_.ended[static_cast<std::size_t>(CallEnd::kAnswered)];
-  counters_.in_vain = 0;
-  if (keep) kept_ = std::move(call.buffer);
-  kept_of_ = id;
+  counters_.consecutive_failures = 0;
+  if (keep) reusable_ = std::move(call.buffer);
+  reusable_call_ = id;
   calls_.erase(id);
   ListActions actions;
   refresher_.Answered(loop_.Now(), id, list->rev, actions);
-  // The next call goes out before the module sees the news: a watch is kept up only by calling at once.
-  Carry(actions);
+  // The next call is sent before the engine applies the list: a watch stays open without a gap only if it
+  // is called again at once.
+  ExecuteActions(actions);
   engine_.Told(*list, origin);
 }
 
@@ -302,15 +307,16 @@
   engine_.ListRefused();
   ListActions actions;
   refresher_.Failed(loop_.Now(), id, why, actions);
-  Carry(actions);
+  ExecuteActions(actions);
 }
 
 void DiscoveryWatch::LogFailure(CallId id, SourceId source, const std::string& reason) {
-  counters_.most_in_vain = std::max(counters_.most_in_vain, ++counters_.in_vain);
+  counters_.max_consecutive_failures =
+      std::max(counters_.max_consecutive_failures, ++counters_.consecutive_failures);
   const auto age = ListAge();
   LogLine(Level::kWarn) << "discovery: call " << id << " to " << addresses_.at(source) << ": " << reason
-                        << "; failed calls in a row: " << counters_.in_vain << ", no news for "
-                        << AgeInMs(age ? *age : loop_.Now() - began_)
+                        << "; failed calls in a row: " << counters_.consecutive_failures << ", no news for "
+                        << AgeInMs(age ? *age : loop_.Now() - started_)
                         << " ms, other calls out: " << calls_.size();
 }
 
@@ -319,7 +325,7 @@
   out << "discovery: state=" << kListStateNames[static_cast<std::size_t>(watch.state())]
       << " list_age_ms=" << AgeInMs(watch.ListAge()) << " calls=" << c.calls
       << " connections=" << c.connections << " partial=" << c.partial
-      << " most_failed_in_a_row=" << c.most_in_vain;
+      << " most_failed_in_a_row=" << c.max_consecutive_failures;
   for (std::size_t i = 0; i < c.ended.size(); ++i) {
     std::string name = kCallEndNames[i];
     std::replace(name.begin(), name.end(), ' ', '_');
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -1,5 +1,6 @@
-// Calls to discovery on real connections: carries out what ListRefresher decides, and tells it what came of
-// it. Lists go on to the engine; when a call goes out, and how long it may take, is not decided here.
+// Calls to discovery over TCP: executes the actions that ListRefresher decides on and reports their outcome
+// to it. Server lists are passed to the engine. When a call is made and how long it may take is decided by
+// ListRefresher, not here.
 #ifndef BRASSWOOD_NET_DISCOVERY_WATCH_H_
 #define BRASSWOOD_NET_DISCOVERY_WATCH_H_
 
@@ -21,37 +22,39 @@
 
 namespace brasswood {
 
-// What the watch has done, for the counters that operators read.
+// The calls to discovery, as printed for operators.
 struct DiscoveryCounters {
-  std::uint64_t calls = 0;        // sent
-  std::uint64_t connections = 0;  // opened
-  std::uint64_t partial = 0;      // answers whose entries were used before they were whole
-  std::uint64_t in_vain = 0;      // calls that failed since the last answer that was taken
-  std::uint64_t most_in_vain = 0;
+  std::uint64_t calls = 0;                 // sent
+  std::uint64_t connections = 0;           // opened
+  std::uint64_t partial = 0;               // answers whose entries were used before the answer was complete
+  std::uint64_t consecutive_failures = 0;  // since the last answer that was accepted
+  std::uint64_t max_consecutive_failures = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(CallEnd::kCount)> ended{};
 };
 
 class DiscoveryWatch : public Watch {
  public:
-  // `known`: the version of the list held at the start, if any (below 0: none). `phase`: 0 to 1, differs
-  // from router to router: the watches of a fleet that fall silent or break together are not opened anew
-  // together.
+  // `known`: the version of the list held at the start; negative if there is none. `phase`: from 0 to 1,
+  // different for each router, so that the watches of a fleet that become unresponsive or break at the same
+  // time are not reopened at the same time.
   DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits, const SettingsRead& settings,
                  std::string address, std::int64_t known, double phase = 0);
 
-  // The first call is answered at once, whether or not there is news: who has kept state wants to know
-  // whether it still holds, and a watch says nothing until something changes. One call more.
+  // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
+  // one more call. A router with persisted state needs to know whether it is still valid, and a watch is
+  // not answered before something changes.
   void AskFirst() { refresher_.AskFirst(); }
 
   void Follow(bool on) override;
   void FetchAll() override;
 
-  // Goes on at this address, the whole list first. What the old one tells counts until then.
+  // Moves to the discovery at this address, where the whole list is requested first. Until that list
+  // arrives, answers of the old address still count.
   void MoveTo(const std::string& address);
 
   const DiscoveryCounters& counters() const { return counters_; }
   ListState state() const { return refresher_.state(); }
-  // Since the list was last known to be true; nothing before the first word of this process.
+  // The time since the list was last known to be current; empty before this process received any answer.
   std::optional<Duration> ListAge() const { return refresher_.Age(loop_.Now()); }
 
  private:
@@ -59,28 +62,28 @@
     Call(DiscoveryWatch& owner, const OpenCall& action, Time now);
     DiscoveryWatch* watch = nullptr;
     CallId id = 0;
-    ListOrigin origin;  // of what it brings; its times are filled in as it comes
+    ListOrigin origin;  // of the lists that it receives; its times are filled in as they arrive
     bool connected = false;
-    bool used_in_part = false;
-    Time first_byte = Time::max();  // of its answer
+    bool partially_used = false;
+    Time first_byte_at = Time::max();  // of its answer
     BufferPtr buffer;
     HttpAnswerReader answer;
     ListReader list;
   };
 
-  void Carry(ListActions actions);
-  void Do(const OpenCall& action);
-  void Do(const CloseCall& action);
-  void Do(const StateChanged& action);
-  void Arm();
+  void ExecuteActions(ListActions actions);
+  void Execute(const OpenCall& action);
+  void Execute(const CloseCall& action);
+  void Execute(const StateChanged& action);
+  void SetTimer();
   bool Connect(Call& call);
-  void Listen(Call& call);
+  void SetCallbacks(Call& call);
   void OnRead(CallId id);
   void OnEvent(CallId id, short what);
-  Parsed TakeAnswer(Call& call, InputEnd input);
-  void TakeEntries(Call& call);
-  void TakeList(Call& call, bool keep);
-  ListOrigin OriginNow(const Call& call) const;
+  Parsed HandleAnswer(Call& call, InputEnd input);
+  void HandleEntries(Call& call);
+  void HandleList(Call& call, bool keep);
+  ListOrigin CurrentOrigin(const Call& call) const;
   void Fail(CallId id, CallEnd why, const std::string& detail = {});
   void LogFailure(CallId id, SourceId source, const std::string& reason);
 
@@ -88,21 +91,22 @@
   Engine& engine_;
   const Limits& limits_;
   const Names& names_;
-  const Time began_;
+  const Time started_;
   const Duration drain_grace_;
-  std::map<SourceId, std::string> addresses_;  // followed, moved to, or called still
+  // The sources that are followed, moved to, or still have an open call.
+  std::map<SourceId, std::string> addresses_;
   SourceId last_source_ = 0;
   ListRefresher refresher_;
   std::map<CallId, std::unique_ptr<Call>> calls_;
-  BufferPtr kept_;  // the connection of a call that was just answered, for the next one
-  CallId kept_of_ = 0;
-  std::vector<CallId> unconnected_;  // to be told to the refresher, once it is done
-  bool lacking_ = false;             // the last call found no descriptor
+  BufferPtr reusable_;  // the connection of the call that was just answered, for the next call
+  CallId reusable_call_ = 0;
+  std::vector<CallId> failed_connects_;  // reported to the refresher after its current actions
+  bool connect_failing_ = false;         // the last call could not be connected
   DiscoveryCounters counters_;
   Deadlines::Id deadline_;
 };
 
-// One line of counters: calls by how they ended, the list's state and its age.
+// Prints one line of counters: the state and age of the list, and the calls by how they ended.
 std::ostream& operator<<(std::ostream& out, const DiscoveryWatch& watch);
 
 }  // namespace brasswood
