--- a/src/net/door.h
+++ b/src/net/door.h
@@ -1,8 +1,8 @@
-// The operators' door: an HTTP/1.1 listener, one call per connection, on the router's own loop. Guards
-// against callers that send nothing or half a call and stay: each connection has one deadline from its
-// accept, after which it is answered 400 and closed, and the table of connections is bounded, the oldest
-// making way for a new one. Nothing here waits on a server or a request, so an answer is due within the
-// deadline whatever the data path does.
+// The admin interface for operators: an HTTP/1.1 listener on the router's event loop, with one request per
+// connection. Guards against callers that send nothing, or an incomplete request, and stay connected: each
+// connection has one deadline, counted from its accept, after which it is answered 400 and closed, and the
+// number of connections is bounded, with the oldest closed for a new one. Nothing here waits for a server
+// or a client's request, so an answer is sent within the deadline whatever the data path does.
 #ifndef BRASSWOOD_NET_DOOR_H_
 #define BRASSWOOD_NET_DOOR_H_
 
@@ -23,7 +23,7 @@
 
 class Door {
  public:
-  // Listens on `address` from now on; throws where it cannot. `router` outlives the door.
+  // Starts to listen on `address`; throws if that fails. `router` must outlive this object.
   Door(Loop& loop, const Limits& limits, const std::string& address, Operations& router);
   ~Door();
 
@@ -35,16 +35,16 @@
     Door* door = nullptr;
     std::uint64_t id = 0;
     BufferPtr buffer;
-    bool answered = false;  // its answer is written; what still comes is read and thrown away
-    std::list<std::uint64_t>::iterator place;
+    bool answered = false;  // its answer is decided on; further input is read and discarded
+    std::list<std::uint64_t>::iterator position;  // in order_
     Deadlines::Id deadline;
   };
 
   void Accept(evutil_socket_t fd);
-  void Read(Caller& c);
-  void Respond(Caller& c, int status, const std::string& body, const std::string& type);
-  void Written(Caller& c);
-  void Expire(std::uint64_t id);
+  void OnRead(Caller& caller);
+  void Respond(Caller& caller, int status, const std::string& body, const std::string& type);
+  void OnWritten(Caller& caller);
+  void OnTimeout(std::uint64_t id);
   void Close(std::uint64_t id);
 
   Loop& loop_;
@@ -53,7 +53,7 @@
   AdminRequestLimits bounds_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   Slots<std::unique_ptr<Caller>> callers_;
-  std::list<std::uint64_t> order_;  // by accept, the oldest first
+  std::list<std::uint64_t> order_;  // by time of accept, the oldest first
 };
 
 }  // namespace brasswood
