--- a/src/protocol/door.cpp
+++ b/src/protocol/door.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 bool IsToken(std::string_view text) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kTokenSymbols = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::all_of(text.begin(), text.end(), [&](unsigned char c) {
-    return std::isalnum(c) || kMarks.find(static_cast<char>(c)) != kMarks.npos;
+    return std::isalnum(c) || kTokenSymbols.find(static_cast<char>(c)) != kTokenSymbols.npos;
   });
 }
 
@@ -56,7 +56,7 @@
 Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
                      DoorCall& call) {
   call = {};
-  // Guards against a caller that opens with empty lines, as RFC 9112 lets a server pass over.
+  // Accepts callers that send empty lines first, which RFC 9112 allows a server to skip.
   std::size_t start = 0;
   while (in.substr(start, 2) == "\r\n") start += 2;
   const std::string_view rest = in.substr(start);
@@ -64,7 +64,7 @@
   if (head_end == rest.npos) {
     if (rest.size() >= bounds.head + 4) return Bad(call, 431, "head too large");
     const std::size_t first = rest.find("\r\n");
-    // A request line that cannot become one is told now, not at the deadline.
+    // A line that cannot become a valid request line is refused at once, not at the deadline.
     const std::string_view line = rest.substr(0, first == rest.npos ? rest.size() : first);
     if (!line.empty() && !IsToken(line.substr(0, std::min(line.find(' '), line.size())))) {
       return Bad(call, 400, "not a request line");
--- a/src/protocol/door.h
+++ b/src/protocol/door.h
@@ -1,5 +1,5 @@
-// The operators' door speaks HTTP/1.1, one call per connection: the request is read here, the answer
-// written here. Pure functions of bytes; the listener and its deadlines live in net/door.
+// HTTP/1.1 as the admin interface uses it, with one request per connection: parses requests and formats
+// answers. Pure functions of bytes; the listener and its deadlines are in net/door.
 #ifndef BRASSWOOD_PROTOCOL_DOOR_H_
 #define BRASSWOOD_PROTOCOL_DOOR_H_
 
@@ -14,22 +14,22 @@
 struct DoorCall {
   std::string method;  // as sent: methods are case-sensitive
   std::string path;    // the target without its query
-  int status = 0;      // of a call that is kBad: the answer it is owed (400, 413, 431, 501, 505)
-  std::string error;   // and why, in a few words
+  int status = 0;      // of a kBad request: the status to answer with (400, 413, 431, 501, 505)
+  std::string error;   // of a kBad request: the reason, in a few words
 };
 
-// Bounds of one call, in bytes. A body is read and thrown away: no call of the door takes one.
+// Size limits of one request, in bytes. A body is read and discarded: no request of the interface uses one.
 struct AdminRequestLimits {
   std::size_t head = 8 * 1024;  // request line and headers
   std::size_t body = 4 * 1024;
 };
 
-// One call from the front of `in`. kMore: not whole yet (the caller bounds the wait); kBad: `call.status`
-// and `call.error` say what it is owed. `used`: the bytes of the call, body included.
+// Parses one request at the front of `in`. kMore: not complete yet (the caller limits the wait). kBad:
+// `call.status` and `call.error` hold the answer to send. `used`: the size of the request with its body.
 Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
                      DoorCall& call);
 
-// A whole answer that closes the connection: status line, Content-Type, Content-Length, the body.
+// Formats a complete answer after which the connection is closed: status line, header fields and body.
 std::string FormatAdminAnswer(int status, std::string_view body, std::string_view type = "text/plain");
 
 }  // namespace brasswood
