--- a/src/protocol/address.h
+++ b/src/protocol/address.h
@@ -1,4 +1,4 @@
-// Addresses are numbers: "a.b.c.d:port". There is no name service where routers run.
+// Addresses are numeric, "a.b.c.d:port": there is no name service where routers run.
 #ifndef BRASSWOOD_PROTOCOL_ADDRESS_H_
 #define BRASSWOOD_PROTOCOL_ADDRESS_H_
 
@@ -13,6 +13,7 @@
 
 namespace brasswood {
 
+// Empty if `text` is not such an address.
 inline std::optional<sockaddr_in> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
--- a/src/protocol/labels.h
+++ b/src/protocol/labels.h
@@ -1,4 +1,4 @@
-// The list of names and values that a request carries: "a=1,b=2".
+// The labels of a request: a list of names and values, "a=1,b=2".
 #ifndef BRASSWOOD_PROTOCOL_LABELS_H_
 #define BRASSWOOD_PROTOCOL_LABELS_H_
 
@@ -13,7 +13,7 @@
 
 namespace brasswood {
 
-// Calls `each(name, value)` for each of them, in their order.
+// Calls `each(name, value)` for each label, in their order.
 template <class F>
 void EachLabel(std::string_view labels, F each) {
   while (!labels.empty()) {
@@ -25,9 +25,8 @@
   }
 }
 
-// The labels as an attempt tells them: as they arrived, but for `d`, which says how long the router will
-// wait from now on. Guards against work at a server or at the origin for an answer that nobody waits for
-// any more.
+// The labels as sent with an attempt: unchanged, except that `d` states how long the router will still
+// wait. Guards against work at a server or the origin for an answer that nobody waits for any more.
 inline std::string LabelsWithin(std::string_view labels, Duration left) {
   const auto ms =
       std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
--- a/src/protocol/parse.h
+++ b/src/protocol/parse.h
@@ -1,6 +1,6 @@
-// What the incremental parsers share. Each is a pure function of the bytes read so far: it takes one whole
-// message from their front, asks for more, or finds them bad. Callers bound how much they gather by the
-// limits that the parsers are given.
+// Common definitions of the incremental parsers. Each parser is a pure function of the bytes read so far:
+// it parses one complete message at their front, asks for more bytes, or reports that they are invalid.
+// Callers bound how much they buffer by the limits that they pass to the parsers.
 #ifndef BRASSWOOD_PROTOCOL_PARSE_H_
 #define BRASSWOOD_PROTOCOL_PARSE_H_
 
@@ -15,18 +15,19 @@
 namespace brasswood {
 
 enum class Parsed {
-  kMore,  // not whole yet
-  kDone,  // a message; `used` bytes of the input were its
-  kBad,   // not a message, and where the next one begins is not known
+  kMore,  // not complete yet
+  kDone,  // a complete message of `used` bytes
+  kBad,   // not a valid message; where the next one begins is unknown
 };
 
-// Whether more bytes can come on the connection that a message is read from. A reset is neither: what it
-// cut short is never a message.
+// Whether more bytes can arrive on the connection that a message is read from. A reset is neither of these:
+// a message that it cut short is never complete.
 enum class InputEnd {
   kOpen,
-  kClosed,  // the sender has closed its side in order
+  kClosed,  // the sender has closed its side in an orderly way
 };
 
+// A non-negative integer that takes up all of `text`; empty for anything else.
 inline std::optional<std::uint64_t> WholeNumber(std::string_view text, int base = 10) {
   std::uint64_t n = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n, base);
@@ -34,8 +35,9 @@
   return n;
 }
 
-// A figure from outside. Guards against `nan`, `inf` and what is too large to reckon with: from_chars takes
-// them all, and one of them in a load or a size spoils every sum that it enters.
+// A number received from another process, from 0 to 1e12. Guards against `nan`, `inf` and values too large
+// to calculate with: from_chars accepts them all, and one of them in a load or a size makes every sum that
+// includes it meaningless.
 inline std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -44,7 +46,7 @@
   return value;
 }
 
-// Cuts the first word off `text`, which a single space ends.
+// Removes the first word of `text`, and the single space that ends it, and returns the word.
 inline std::string_view NextWord(std::string_view& text) {
   const std::size_t end = text.find(' ');
   const std::string_view word = text.substr(0, end);
@@ -60,7 +62,7 @@
   return !text.empty();
 }
 
-// Of HTTP's fields: names that differ in case alone are the same; blanks round a value are no part of it.
+// HTTP field names are compared without regard to case; Trim removes the blanks around a field value.
 inline bool SameName(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
