--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -18,8 +18,8 @@
   return v != nullptr && v->IsString() ? std::string(v->GetString(), v->GetStringLength()) : std::string();
 }
 
-// A name's place among `names`; one that is not there gets a place of its own past them.
-int Place(const std::vector<std::string>& names, const std::string& name) {
+// The index of `name` in `names`; names.size() if it is not there.
+int IndexOrEnd(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
@@ -41,8 +41,8 @@
   if (e.availability != beechledge::Availability::kRemoved && !ParseAddress(e.endpoint)) {
     return e.uid + ": no address as endpoint";
   }
-  e.zone = Place(names.zones, Text(in, "az"));
-  e.kind = Place(names.kinds, Text(in, "model"));
+  e.zone = IndexOrEnd(names.zones, Text(in, "az"));
+  e.kind = IndexOrEnd(names.kinds, Text(in, "model"));
   if (const Value* cell = FindField(in, "pod_group")) {
     if (!cell->IsInt()) return e.uid + ": pod_group is not a whole number";
     e.cell = cell->GetInt();
@@ -62,9 +62,9 @@
 
 }  // namespace
 
-// ---- A list as it comes ----
+// ---- A list read as it arrives ----
 
-bool JsonWalk::Next(std::string_view text) {
+bool JsonScanner::Next(std::string_view text) {
   if (at_ >= text.size()) return false;
   last_ = text[at_++];
   if (in_string_) {
@@ -77,7 +77,7 @@
     }
   } else if (last_ == '"') {
     in_string_ = true;
-    string_from_ = at_;
+    string_start_ = at_;
   } else if (last_ == '{' || last_ == '[') {
     ++depth_;
   } else if (last_ == '}' || last_ == ']') {
@@ -87,37 +87,38 @@
 }
 
 void ListReader::Feed(std::string_view json) {
-  if (state_ == State::kBeforeEntries) WalkToEntries(json);
-  while (state_ == State::kEntries && walk_.Next(json)) {
-    if (walk_.in_string()) continue;
-    if (walk_.depth() < kEntriesDepth) state_ = State::kEnded;
-    if (walk_.last() == '{' && walk_.depth() == kEntriesDepth + 1) entry_from_ = walk_.at() - 1;
-    if (walk_.last() == '}' && walk_.depth() == kEntriesDepth) {
-      TakeEntry(json.substr(entry_from_, walk_.at() - entry_from_));
+  if (state_ == State::kBeforeEntries) SkipToEntries(json);
+  while (state_ == State::kEntries && scanner_.Next(json)) {
+    if (scanner_.in_string()) continue;
+    if (scanner_.depth() < kEntriesDepth) state_ = State::kEnded;
+    if (scanner_.last() == '{' && scanner_.depth() == kEntriesDepth + 1) entry_start_ = scanner_.at() - 1;
+    if (scanner_.last() == '}' && scanner_.depth() == kEntriesDepth) {
+      ReadCompletedEntry(json.substr(entry_start_, scanner_.at() - entry_start_));
     }
   }
 }
 
-// Goes on to behind the bracket that opens the list's entries.
-void ListReader::WalkToEntries(std::string_view json) {
-  while (walk_.Next(json)) {
-    if (walk_.in_string()) continue;
-    if (walk_.last() == '"' && walk_.depth() == 1) named_ = walk_.LastString(json) == "targets";
-    if (walk_.last() != '[' || walk_.depth() != kEntriesDepth) continue;
+// Scans up to and including the bracket that opens the list's entries.
+void ListReader::SkipToEntries(std::string_view json) {
+  while (scanner_.Next(json)) {
+    if (scanner_.in_string()) continue;
+    if (scanner_.last() == '"' && scanner_.depth() == 1)
+      at_targets_ = scanner_.LastString(json) == "targets";
+    if (scanner_.last() != '[' || scanner_.depth() != kEntriesDepth) continue;
     std::string why;
-    list_ = ReadServerList(std::string(json.substr(0, walk_.at())) + "]}", names_, limits_, why);
-    state_ = named_ && list_ ? State::kEntries : State::kEnded;
+    list_ = ReadServerList(std::string(json.substr(0, scanner_.at())) + "]}", names_, limits_, why);
+    state_ = at_targets_ && list_ ? State::kEntries : State::kEnded;
     if (state_ == State::kEnded) list_.reset();
     return;
   }
 }
 
-void ListReader::TakeEntry(std::string_view json) {
+void ListReader::ReadCompletedEntry(std::string_view json) {
   rapidjson::Document document;
   ReadJson(json, document);
   ServerEntry entry;
-  const bool sound = !document.HasParseError() && ReadEntry(document, names_, entry).empty();
-  if (!sound || ++entries_ > limits_.servers) {
+  const bool valid = !document.HasParseError() && ReadEntry(document, names_, entry).empty();
+  if (!valid || ++entries_ > limits_.servers) {
     state_ = State::kEnded;
     list_.reset();
     return;
