--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -13,10 +13,10 @@
 
 using beechledge::Result;
 
-// Bytes of a chunk's size line with its extensions, or of a trailer line.
-constexpr std::size_t kChunkLine = 4096;
+// The maximum size in bytes of a chunk's size line with its extensions, or of a trailer line.
+constexpr std::size_t kMaxChunkLine = 4096;
 
-// A path of the key's bytes, those that a path cannot carry escaped.
+// The path for a key, with the bytes that a path cannot contain percent-encoded.
 std::string KeyPath(std::string_view key) {
   static constexpr char kHex[] = "0123456789ABCDEF";
   std::string path = "/";
@@ -33,7 +33,7 @@
   return path;
 }
 
-// The members of a comma-separated field value.
+// Calls `each(member)` for each member of a comma-separated field value.
 template <class F>
 void EachMember(std::string_view value, F each) {
   while (!value.empty()) {
@@ -43,16 +43,17 @@
   }
 }
 
-// What the header fields say of the answer and of its end. False: they cannot be meant.
+// Evaluates the header fields of an answer, and how the end of its body is determined.
 class HeaderFields {
  public:
   explicit HeaderFields(HttpAnswer& answer) : answer_(answer) {}
 
-  bool Take(std::string_view name, std::string_view value) {
-    if (SameName(name, "Content-Length")) return TakeLength(value);
+  // False: the field makes the answer invalid.
+  bool Apply(std::string_view name, std::string_view value) {
+    if (SameName(name, "Content-Length")) return ApplyLength(value);
     if (SameName(name, "Transfer-Encoding")) {
       chunked_ = SameName(value, "chunked");
-      return chunked_;  // no other coding was asked for, and none can be undone
+      return chunked_;  // no other coding was requested, and none can be decoded
     }
     if (SameName(name, "Connection")) {
       EachMember(value, [this](std::string_view option) {
@@ -69,22 +70,22 @@
 
   HttpHead Result() const {
     const bool no_body = answer_.status < 200 || answer_.status == 204 || answer_.status == 304;
-    if (no_body) return {HttpBodyEnd::kAtHead, 0};
+    if (no_body) return {HttpBodyEnd::kNoBody, 0};
     if (chunked_) return {HttpBodyEnd::kLastChunk, 0};
     if (length_) return {HttpBodyEnd::kLength, *length_};
     return {HttpBodyEnd::kClose, 0};
   }
 
  private:
-  // A length that was stated more than once has to be the same each time (RFC 9112, 6.3).
-  bool TakeLength(std::string_view value) {
-    bool sound = !value.empty();
+  // A length that is stated more than once must be the same each time (RFC 9112, 6.3).
+  bool ApplyLength(std::string_view value) {
+    bool valid = !value.empty();
     EachMember(value, [&](std::string_view member) {
       const auto stated = WholeNumber(member);
-      if (!stated || (length_ && *length_ != *stated)) sound = false;
+      if (!stated || (length_ && *length_ != *stated)) valid = false;
       length_ = stated;
     });
-    return sound;
+    return valid;
   }
 
   HttpAnswer& answer_;
@@ -92,9 +93,9 @@
   bool chunked_ = false;
 };
 
-// One head; `used` ends behind its empty line.
+// Parses one head; `used` ends after its empty line.
 Parsed ParseOneHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
-                    HttpHead& said) {
+                    HttpHead& framing) {
   answer = {};
   const std::size_t head_end = in.substr(0, limits.http_head + 4).find("\r\n\r\n");
   if (head_end == in.npos) return in.size() >= limits.http_head + 4 ? Parsed::kBad : Parsed::kMore;
@@ -112,21 +113,21 @@
     const std::string_view line = head.substr(0, line_end);
     const std::size_t colon = line.find(':');
     if (colon == line.npos || colon == 0) return Parsed::kBad;
-    if (!fields.Take(line.substr(0, colon), Trim(line.substr(colon + 1)))) return Parsed::kBad;
+    if (!fields.Apply(line.substr(0, colon), Trim(line.substr(colon + 1)))) return Parsed::kBad;
   }
-  said = fields.Result();
+  framing = fields.Result();
   used = head_end + 4;
   return Parsed::kDone;
 }
 
-// The head of the answer itself. Interim answers (1xx) may stand before it and say nothing of it; they are
-// passed over, but not without end. A change of protocols was never asked for.
+// Parses the head of the final answer. Interim answers (1xx) may precede it and are skipped, but at most
+// Limits::interim of them. Status 101 is invalid: the router never requests another protocol.
 Parsed ParseFinalHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
-                      HttpHead& said) {
+                      HttpHead& framing) {
   std::size_t at = 0;
   for (std::size_t n = 0; n <= limits.interim; ++n) {
     std::size_t taken = 0;
-    const Parsed got = ParseOneHead(in.substr(at), limits, taken, answer, said);
+    const Parsed got = ParseOneHead(in.substr(at), limits, taken, answer, framing);
     if (got != Parsed::kDone) return got;
     at += taken;
     if (answer.status == 101) return Parsed::kBad;
@@ -140,27 +141,27 @@
 
 }  // namespace
 
-// ---- An answer as it comes ----
+// ---- An answer read as it arrives ----
 
 Parsed HttpAnswerReader::Feed(std::string_view bytes) {
   while (state_ != State::kDone && state_ != State::kBad &&
-         (!bytes.empty() || state_ == State::kBodyBegins)) {
+         (!bytes.empty() || state_ == State::kBodyStart)) {
     switch (state_) {
       case State::kHead:
-        TakeHead(bytes);
+        ReadHead(bytes);
         break;
-      case State::kBodyBegins:
-        BeginBody();
+      case State::kBodyStart:
+        StartBody();
         break;
       case State::kLength:
       case State::kChunk:
-        TakeCounted(bytes);
+        ReadCounted(bytes);
         break;
       case State::kClose:
-        TakeToClose(bytes);
+        ReadToClose(bytes);
         break;
       default:
-        TakeChunkLine(bytes);
+        ReadChunkLine(bytes);
         break;
     }
   }
@@ -177,7 +178,7 @@
   return state_ == State::kDone ? Parsed::kDone : state_ == State::kBad ? Parsed::kBad : Parsed::kMore;
 }
 
-void HttpAnswerReader::TakeHead(std::string_view& bytes) {
+void HttpAnswerReader::ReadHead(std::string_view& bytes) {
   const std::size_t before = line_.size();
   if (before > 0) line_.append(bytes);
   std::size_t used = 0;
@@ -188,20 +189,20 @@
   bytes.remove_prefix(got == Parsed::kDone ? used - before : bytes.size());
   if (got != Parsed::kDone) return;
   line_.clear();
-  state_ = State::kBodyBegins;
+  state_ = State::kBodyStart;
 }
 
-void HttpAnswerReader::BeginBody() {
+void HttpAnswerReader::StartBody() {
   switch (head_.body) {
-    case HttpBodyEnd::kAtHead:
+    case HttpBodyEnd::kNoBody:
       state_ = State::kDone;
       return;
     case HttpBodyEnd::kLastChunk:
       state_ = State::kChunkSize;
       return;
     case HttpBodyEnd::kLength:
-      left_ = head_.length;
-      state_ = left_ > most_body_ ? State::kBad : left_ == 0 ? State::kDone : State::kLength;
+      body_left_ = head_.length;
+      state_ = body_left_ > max_body_ ? State::kBad : body_left_ == 0 ? State::kDone : State::kLength;
       return;
     case HttpBodyEnd::kClose:
       answer_.keep = false;
@@ -209,16 +210,16 @@
   }
 }
 
-void HttpAnswerReader::TakeCounted(std::string_view& bytes) {
-  const std::size_t part = static_cast<std::size_t>(std::min<std::uint64_t>(left_, bytes.size()));
+void HttpAnswerReader::ReadCounted(std::string_view& bytes) {
+  const std::size_t part = static_cast<std::size_t>(std::min<std::uint64_t>(body_left_, bytes.size()));
   answer_.body.append(bytes.substr(0, part));
   bytes.remove_prefix(part);
-  left_ -= part;
-  if (left_ == 0) state_ = state_ == State::kChunk ? State::kChunkEnd : State::kDone;
+  body_left_ -= part;
+  if (body_left_ == 0) state_ = state_ == State::kChunk ? State::kChunkEnd : State::kDone;
 }
 
-void HttpAnswerReader::TakeToClose(std::string_view& bytes) {
-  if (bytes.size() > most_body_ - answer_.body.size()) {
+void HttpAnswerReader::ReadToClose(std::string_view& bytes) {
+  if (bytes.size() > max_body_ - answer_.body.size()) {
     state_ = State::kBad;
     return;
   }
@@ -226,10 +227,10 @@
   bytes = {};
 }
 
-// A chunk's size, the end of its data, or a trailer.
-void HttpAnswerReader::TakeChunkLine(std::string_view& bytes) {
+// Reads a chunk's size line, the CRLF after its data, or a trailer line.
+void HttpAnswerReader::ReadChunkLine(std::string_view& bytes) {
   const std::size_t before = line_.size();
-  line_.append(bytes.substr(0, kChunkLine + 2));
+  line_.append(bytes.substr(0, kMaxChunkLine + 2));
   const std::string_view line_end = "\r\n";
   if (state_ == State::kChunkEnd && !line_end.starts_with(std::string_view(line_).substr(0, 2))) {
     state_ = State::kBad;
@@ -237,7 +238,7 @@
   }
   const std::size_t end = line_.find(line_end);
   if (end == line_.npos) {
-    if (line_.size() > kChunkLine) state_ = State::kBad;
+    if (line_.size() > kMaxChunkLine) state_ = State::kBad;
     bytes.remove_prefix(line_.size() - before);
     return;
   }
@@ -249,23 +250,23 @@
   } else if (state_ == State::kChunkEnd) {
     state_ = State::kChunkSize;
   } else {
-    BeginChunk(line);
+    StartChunk(line);
   }
 }
 
-void HttpAnswerReader::BeginChunk(std::string_view size_line) {
+void HttpAnswerReader::StartChunk(std::string_view size_line) {
   const auto length = WholeNumber(Trim(size_line.substr(0, size_line.find(';'))), 16);
-  if (!length || *length > most_body_ - answer_.body.size()) {
+  if (!length || *length > max_body_ - answer_.body.size()) {
     state_ = State::kBad;
     return;
   }
-  left_ = *length;
-  state_ = left_ == 0 ? State::kTrailer : State::kChunk;
+  body_left_ = *length;
+  state_ = body_left_ == 0 ? State::kTrailer : State::kChunk;
 }
 
-Parsed ParseHttpAnswer(std::string_view in, std::size_t most_body, const Limits& limits, InputEnd end,
+Parsed ParseHttpAnswer(std::string_view in, std::size_t max_body, const Limits& limits, InputEnd end,
                        std::size_t& used, HttpAnswer& answer) {
-  HttpAnswerReader reader(most_body, limits);
+  HttpAnswerReader reader(max_body, limits);
   Parsed got = reader.Feed(in);
   if (got == Parsed::kMore && end == InputEnd::kClosed) got = reader.End();
   used = in.size() - reader.surplus();
@@ -306,7 +307,7 @@
 AttemptEnd ReadOriginAnswer(HttpAnswer answer, const RequestContent& request) {
   AttemptEnd end = ReadOriginProbe(answer);
   if (end.result != Result::kOk) return end;
-  // A receipt goes out as one word of a line; one that is none must not break that line.
+  // A receipt is sent to the client as one word of a line: anything else would break that line.
   if (request.write && (!IsWord(answer.body) || answer.body.size() > 1024)) {
     end.result = Result::kSpoilt;
   } else {
@@ -317,8 +318,8 @@
 
 AttemptEnd ReadOriginProbe(const HttpAnswer& answer) {
   AttemptEnd end;
-  const bool never_ran = (answer.status == 503 || answer.status == 504) && answer.turned_away;
-  end.result = answer.status == 200 ? Result::kOk : never_ran ? Result::kFull : Result::kError;
+  const bool not_run = (answer.status == 503 || answer.status == 504) && answer.turned_away;
+  end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kFull : Result::kError;
   std::string_view rest = answer.pressure;
   while (!rest.empty()) {
     const std::size_t cut = rest.find(',');
