--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -12,18 +12,19 @@
 using beechledge::Note;
 using beechledge::Result;
 
-// A line without its end; `used` covers both. A bare LF is not an end.
-Parsed TakeLine(std::string_view in, std::size_t most, std::string_view& line, std::size_t& used) {
-  const std::size_t end = in.substr(0, most + 2).find("\r\n");
-  if (end == in.npos) return in.size() > most + 1 ? Parsed::kBad : Parsed::kMore;
+// Parses a line of at most `max_length` bytes, which is returned without its CRLF; `used` includes the
+// CRLF. A bare LF does not end a line.
+Parsed ParseLine(std::string_view in, std::size_t max_length, std::string_view& line, std::size_t& used) {
+  const std::size_t end = in.substr(0, max_length + 2).find("\r\n");
+  if (end == in.npos) return in.size() > max_length + 1 ? Parsed::kBad : Parsed::kMore;
   line = in.substr(0, end);
   used = end + 2;
   return Parsed::kDone;
 }
 
-// The block of `length` bytes after `at`, with its CRLF.
-Parsed TakeBlock(std::string_view in, std::size_t at, std::size_t length, std::string& to,
-                 std::size_t& used) {
+// Parses the data block of `length` bytes that begins at `at`, and its CRLF.
+Parsed ParseBlock(std::string_view in, std::size_t at, std::size_t length, std::string& to,
+                  std::size_t& used) {
   if (in.size() < at + length + 2) return Parsed::kMore;
   if (in.substr(at + length, 2) != "\r\n") return Parsed::kBad;
   to.assign(in.substr(at, length));
@@ -31,28 +32,29 @@
   return Parsed::kDone;
 }
 
-constexpr std::size_t kLabels = 64;  // of one command; more is no list that a client writes
+constexpr std::size_t kMaxLabels = 64;  // per command; no client sends more
 
 int IndexOf(const std::vector<std::string>& names, std::string_view name) {
   const auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-// The flags of a request's command: O and P are used, the others passed over. One that comes twice must say
-// the same twice: which of two ids or label lists its client means, nobody can tell.
-void TakeFlags(std::string_view rest, Command& c) {
+// Parses the flags of a request's command: O and P are used, others are ignored. A flag that is repeated
+// must have the same value each time, because it is not known which of two ids or label lists the client
+// means.
+void ParseFlags(std::string_view rest, Command& c) {
   bool id = false, labels = false;
-  const auto take = [&c](std::string_view value, std::string& to, bool& taken) {
-    if (taken && to != value) c.error = "flags that disagree";
+  const auto set = [&c](std::string_view value, std::string& to, bool& was_set) {
+    if (was_set && to != value) c.error = "flags that disagree";
     to = value;
-    taken = true;
+    was_set = true;
   };
   while (!rest.empty()) {
     const std::string_view flag = NextWord(rest);
     if (flag.empty()) continue;
     if (!IsWord(flag)) c.error = "bad flag";
-    if (flag[0] == 'O') take(flag.substr(1), c.content.id, id);
-    if (flag[0] == 'P') take(flag.substr(1), c.content.labels, labels);
+    if (flag[0] == 'O') set(flag.substr(1), c.content.id, id);
+    if (flag[0] == 'P') set(flag.substr(1), c.content.labels, labels);
   }
   if (c.content.id.empty() && c.error.empty()) c.error = "no id";
 }
@@ -66,7 +68,7 @@
 Parsed ParseCommand(std::string_view in, const Limits& limits, std::size_t& used, Command& c) {
   c = {};
   std::string_view line;
-  const Parsed got = TakeLine(in, limits.line, line, used);
+  const Parsed got = ParseLine(in, limits.line, line, used);
   if (got == Parsed::kBad) c.error = "line too long";
   if (got != Parsed::kDone) return got;
   std::string_view rest = line;
@@ -77,19 +79,19 @@
     c.verb = Verb::kRequest;
     c.content.key = NextWord(rest);
     CheckKey(limits, c);
-    TakeFlags(rest, c);
+    ParseFlags(rest, c);
   } else if (verb == "ms") {
     c.verb = Verb::kRequest;
     c.content.write = true;
     c.content.key = NextWord(rest);
     const auto length = WholeNumber(NextWord(rest));
-    if (!length || *length > limits.value) {  // where the next command begins is not known, or too far
+    if (!length || *length > limits.value) {  // where the next command begins is unknown, or too far away
       c.error = length ? "value too large" : "bad length";
       return Parsed::kBad;
     }
     CheckKey(limits, c);
-    TakeFlags(rest, c);
-    const Parsed block = TakeBlock(in, used, *length, c.content.value, used);
+    ParseFlags(rest, c);
+    const Parsed block = ParseBlock(in, used, *length, c.content.value, used);
     if (block == Parsed::kBad) c.error = "bad data chunk";
     if (block != Parsed::kDone) return block;
   }
@@ -97,8 +99,9 @@
   return Parsed::kDone;
 }
 
-// Guards against running what its client cannot have meant. A server turns such a command away or
-// closes on it, which would look like the server's fault and cost other requests their tries.
+// Guards against executing a request that its client cannot have meant. A server would refuse such a
+// command or close the connection, which would look like a fault of the server and use up attempts of other
+// requests.
 std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
                          NewRequest& request) {
   request = {};
@@ -106,10 +109,10 @@
   std::string error;
   std::vector<std::pair<std::string_view, std::string_view>> seen;
   EachLabel(content.labels, [&](std::string_view name, std::string_view value) {
-    for (const auto& [earlier, said] : seen) {
-      if (earlier == name && said != value) error = "labels that disagree";
+    for (const auto& [earlier_name, earlier_value] : seen) {
+      if (earlier_name == name && earlier_value != value) error = "labels that disagree";
     }
-    if (seen.size() < kLabels) {
+    if (seen.size() < kMaxLabels) {
       seen.emplace_back(name, value);
     } else {
       error = "too many labels";
@@ -118,13 +121,14 @@
     if (name == "t") request.tenant = std::max(0, IndexOf(names.tenants, value));
     if (name == "r") request.repeat = value == "1";
     if (name == "size")
-      request.size_hint = ParseNumber(value);  // a hint only: without it the request still runs
+      request.size_hint = ParseNumber(value);  // only a hint: without it the request is still executed
     if (name == "d") {
       const auto ms = WholeNumber(value);
-      const auto most = std::chrono::duration_cast<std::chrono::milliseconds>(limits.longest_wait).count();
+      const auto max_ms =
+          std::chrono::duration_cast<std::chrono::milliseconds>(limits.longest_wait).count();
       if (!ms) error = "bad deadline";
       request.wait = std::chrono::milliseconds(
-          std::min<std::uint64_t>(ms.value_or(0), static_cast<std::uint64_t>(most)));
+          std::min<std::uint64_t>(ms.value_or(0), static_cast<std::uint64_t>(max_ms)));
     }
   });
   if (error.empty() && request.request_class < 0) error = "unknown class";
@@ -168,14 +172,14 @@
 
 namespace {
 
-// `most`: the largest value taken; `head`: stop after a VA head line.
+// `max_value`: the length of the largest value accepted; `head_only`: stop after a VA line.
 Parsed ParseReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                  std::size_t most, bool head_only, std::size_t& used, AttemptEnd& end,
+                  std::size_t max_value, bool head_only, std::size_t& used, AttemptEnd& end,
                   std::optional<std::uint64_t>& value) {
   end = {};
   value.reset();
   std::string_view rest;
-  const Parsed got = TakeLine(in, limits.line, rest, used);
+  const Parsed got = ParseLine(in, limits.line, rest, used);
   if (got != Parsed::kDone) return got;
   const std::string_view head = NextWord(rest);
   if (head == "SERVER_ERROR") {
@@ -189,7 +193,7 @@
   std::optional<std::uint64_t> length;
   if (head == "VA") {
     length = WholeNumber(NextWord(rest));
-    if (!length || *length > most) return Parsed::kBad;
+    if (!length || *length > max_value) return Parsed::kBad;
   } else if (head != "HD" && head != "EN") {
     return Parsed::kBad;
   }
@@ -203,7 +207,7 @@
     miss |= flag == "h0";
     fetching |= flag == "Z";
   }
-  if (id != request.id) return Parsed::kBad;  // an answer to something else
+  if (id != request.id) return Parsed::kBad;  // the answer to another request
   end.note = hit ? Note::kHit : miss ? (fetching ? Note::kMissFetching : Note::kMiss) : Note::kNone;
   if (head == "EN") {
     end.result = Result::kMiss;
@@ -215,7 +219,7 @@
     value = length;
     return Parsed::kDone;
   }
-  if (head == "VA") return TakeBlock(in, used, *length, end.body, used);
+  if (head == "VA") return ParseBlock(in, used, *length, end.body, used);
   end.body = receipt;
   return receipt.empty() ? Parsed::kBad : Parsed::kDone;
 }
@@ -247,7 +251,7 @@
   end = {};
   std::string_view line;
   std::size_t at = 0, n = 0;
-  const Parsed got = TakeLine(in, limits.line, line, at);
+  const Parsed got = ParseLine(in, limits.line, line, at);
   used = at;
   if (got != Parsed::kDone) return got;
   if (line.starts_with("SERVER_ERROR")) {
@@ -257,14 +261,14 @@
   end.result = Result::kOk;
   if (!load) return line == "MN" ? Parsed::kDone : Parsed::kBad;
   for (at = 0; at <= limits.line; at += n) {
-    const Parsed next = TakeLine(in.substr(at), limits.line, line, n);
+    const Parsed next = ParseLine(in.substr(at), limits.line, line, n);
     if (next != Parsed::kDone) return next;
     used = at + n;
     if (line == "END") return Parsed::kDone;
     if (NextWord(line) != "STAT") return Parsed::kBad;
     const std::string_view name = NextWord(line);
     const auto value = ParseNumber(line);
-    if (!value) continue;  // a figure that cannot be read is one that was not stated
+    if (!value) continue;  // an unreadable number counts as not stated
     if (!end.report) end.report.emplace();
     SetReportField(*end.report, name, *value);
   }
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -1,4 +1,5 @@
-// The meta commands of the memcache text protocol, both ways.
+// The meta commands of the memcache text protocol, as a server for clients and as a client of cache
+// servers.
 #ifndef BRASSWOOD_PROTOCOL_META_H_
 #define BRASSWOOD_PROTOCOL_META_H_
 
@@ -20,39 +21,40 @@
 struct Command {
   Verb verb = Verb::kUnknown;
   RequestContent content;  // of a request
-  std::string error;       // of a malformed command: what follows CLIENT_ERROR
+  std::string error;       // of a malformed command: the text after CLIENT_ERROR
 };
 
-// One command. kBad: framing is lost, and `command.error` says why.
+// Parses one command. kBad: the framing is lost, and `command.error` states the reason.
 Parsed ParseCommand(std::string_view in, const Limits& limits, std::size_t& used, Command& command);
 
-// The engine's view of a request, from its labels. Empty, or what is wrong with them: such a request must
-// not run.
+// Fills `request` from a request's content and labels. Returns an empty string, or what is wrong with the
+// labels; such a request must not be executed.
 std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
                          NewRequest& request);
 
+// Formats the answer to a client's request.
 void AppendAnswer(std::string& out, std::string_view id, const Answer& answer, const Limits& limits);
 
 // ---- To cache servers ----
 
-// `left`: how long the router will wait, which takes the place of `d`.
+// Formats an attempt. `left`: how long the router will wait, which replaces the label `d`.
 std::string WriteAttempt(const RequestContent& request, Duration left);
 
-// The answer to an attempt. kBad: it is spoilt, or not this attempt's.
+// Parses the answer to an attempt. kBad: it is malformed, or does not belong to this attempt.
 Parsed ParseAttemptReply(std::string_view in, const RequestContent& request, const Limits& limits,
                          std::size_t& used, AttemptEnd& end);
 
-// The head line alone of an attempt's answer. A VA head gives the value's `length` and `used` ends where
-// the value begins; any other answer is left to ParseAttemptReply (`length` empty). kBad as
-// ParseAttemptReply.
+// Parses only the head line of the answer to an attempt. For a VA line, `length` is the length of the value
+// and `used` ends where the value begins; any other answer is left to ParseAttemptReply (`length` is
+// empty). kBad as for ParseAttemptReply.
 Parsed ParseAttemptHead(std::string_view in, const RequestContent& request, const Limits& limits,
                         std::size_t& used, AttemptEnd& end, std::optional<std::uint64_t>& length);
 
-// The answer to `mn` or, with `load`, to `stats load`.
+// Parses the answer to `mn` or, with `load`, to `stats load`.
 Parsed ParseProbeReply(std::string_view in, bool load, const Limits& limits, std::size_t& used,
                        AttemptEnd& end);
 
-// A figure of a load report under its name; others are passed over.
+// Sets the field `name` of a load report; unknown names are ignored.
 void SetReportField(beechledge::LoadReport& report, std::string_view name, double value);
 
 }  // namespace brasswood
