--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -1,6 +1,6 @@
-// The other parties of a test, played by hand over real sockets on loopback: the program under test is
-// started, and the test is its clients, cache servers, origin and discovery. Every step waits for its
-// event; kPatience only ends a test that has already gone wrong.
+// Helpers for tests of the program over TCP on loopback: the test starts the router and acts as its
+// clients, cache servers, origin and discovery. Every step waits for its event; kTimeoutMs only ends a test
+// that has already failed.
 #ifndef BRASSWOOD_TESTS_NET_WORLD_H_
 #define BRASSWOOD_TESTS_NET_WORLD_H_
 
@@ -46,19 +46,19 @@
   void Write(const std::string& text) const {
     REQUIRE(::send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
-  // Up to and with `end`; empty once the other side has closed.
+  // Reads up to and including `end`; empty if the peer closes first.
   std::string Until(const std::string& end) {
-    const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
     for (;;) {
       const std::size_t at = read_.find(end);
-      if (at != read_.npos) return Cut(at + end.size());
-      if (!More()) return {};
-      // Guards against a log that goes on and on without it.
-      if (std::chrono::steady_clock::now() > patience)
-        throw std::runtime_error("it never came; so far: " + read_);
+      if (at != read_.npos) return Consume(at + end.size());
+      if (!Receive()) return {};
+      // Guards against a log that never ends and never contains `end`.
+      if (std::chrono::steady_clock::now() > deadline)
+        throw std::runtime_error("expected text never arrived; received: " + read_);
     }
   }
-  // The first piece up to `end` that holds `what`.
+  // The first piece, each ended by `end`, that contains `what`.
   std::string Until(const std::string& end, const std::string& what) {
     std::string piece = Until(end);
     while (!piece.empty() && piece.find(what) == piece.npos) piece = Until(end);
@@ -66,24 +66,24 @@
   }
   std::string Line() { return Until("\r\n"); }
   std::string ReadExactly(std::size_t n) {
-    while (read_.size() < n) REQUIRE(More());
-    return Cut(n);
+    while (read_.size() < n) REQUIRE(Receive());
+    return Consume(n);
   }
-  bool Ended() {  // waits for the other side's close, and nothing before it
-    while (More()) {
+  bool Ended() {  // whether the peer closes without sending anything before
+    while (Receive()) {
     }
     return read_.empty();
   }
 
  private:
-  std::string Cut(std::size_t n) {
+  std::string Consume(std::size_t n) {
     std::string out = read_.substr(0, n);
     read_.erase(0, n);
     return out;
   }
-  bool More() {
+  bool Receive() {
     pollfd p{fd_, POLLIN, 0};
-    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("nothing came; so far: " + read_);
+    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("no data arrived; received: " + read_);
     char buffer[65536];
     const ssize_t n = ::read(fd_, buffer, sizeof buffer);
     if (n > 0) read_.append(buffer, static_cast<std::size_t>(n));
@@ -95,7 +95,7 @@
 
 class Listener {
  public:
-  // `port`: one that another has left; 0: any.
+  // `port`: one that a closed listener has used before; 0: any free one.
   explicit Listener(int port = 0) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int on = 1;
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -115,7 +115,7 @@
   void Close() { fd_.Close(); }
   Fd Accept() const {
     pollfd p{fd_.get(), POLLIN, 0};
-    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("nobody connected");
+    if (::poll(&p, 1, kTimeoutMs) != 1) throw std::runtime_error("no connection arrived");
     return Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
   }
 
@@ -124,11 +124,12 @@
   std::string address_;
 };
 
-// The first of these on which somebody connects.
+// The index of the first of these listeners to receive a connection.
 inline std::size_t FirstCalled(const std::vector<const Listener*>& listeners) {
   std::vector<pollfd> polled;
   for (const Listener* l : listeners) polled.push_back({l->get(), POLLIN, 0});
-  if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1) throw std::runtime_error("nobody connected");
+  if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1)
+    throw std::runtime_error("no connection arrived");
   for (std::size_t i = 0; i < polled.size(); ++i) {
     if (polled[i].revents != 0) return i;
   }
@@ -153,16 +154,16 @@
          "\r\n" + body;
 }
 
-// Waits for a watch and leaves it open.
+// Reads the head of a call to discovery, which is not answered yet.
 inline std::string WatchCall(Fd& discovery) { return discovery.Until("\r\n\r\n"); }
 
 struct Process {
   pid_t pid = -1;
   Fd err;
-  std::string listen;  // where it serves
-  std::string door;    // where its operators' door is, if it has one
-  std::string path;    // of its configuration
-  std::string said;    // its log until it listened
+  std::string listen;  // the address for clients, or the error line of a failed start
+  std::string door;    // the address of the admin interface, if it has one
+  std::string path;    // the configuration file
+  std::string said;    // the log up to the line that reports the address for clients
   Process() = default;
   Process(Process&& o) noexcept
       : pid(std::exchange(o.pid, -1)),
@@ -197,7 +198,8 @@
   }
 };
 
-// The program, begun with the configuration at that path. `more`: further variables, "NAME=value".
+// Starts the program with the configuration file `path`. `more`: further environment variables,
+// "NAME=value".
 inline Process Launch(const std::string& path, const std::string& discovery = "",
                       const std::vector<std::string>& more = {}) {
   int err[2];
@@ -220,7 +222,7 @@
   return p;
 }
 
-// Until it listens, or says why it will not.
+// Reads the log until the program listens, or reports why it does not start.
 inline void AwaitStart(Process& p) {
   for (std::string line = p.err.Until("\n"); !line.empty(); line = p.err.Until("\n")) {
     p.said += line;
@@ -233,7 +235,7 @@
       break;
     }
     if (line.find("configuration:") != line.npos) {
-      p.listen = line;  // it says why it will not start
+      p.listen = line;  // the reason why it does not start
       break;
     }
   }
@@ -266,7 +268,7 @@
   return fd;
 }
 
-// A router that knows these targets.
+// A running router that was configured with these servers, and its discovery and origin.
 struct Router {
   Listener discovery, origin;
   Process process;
