--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -1,5 +1,6 @@
-// The router's parts in this process, on a thread of their own, with limits of the test's choosing: an
-// order of events that the program's own limits would take seconds to show, and that no limit may hide.
+// Runs the components of the router in the test process, on a thread of their own and with limits that the
+// test chooses. With the program's own limits some orders of events would take seconds to occur, or would
+// be prevented by a limit.
 #ifndef BRASSWOOD_TESTS_NET_IN_PROCESS_H_
 #define BRASSWOOD_TESTS_NET_IN_PROCESS_H_
 
@@ -22,12 +23,12 @@
 
 class InProcess {
  public:
-  // `config` as the program reads it; `change` has the last word on its limits.
+  // `config`: as read by the program; `change` adjusts the limits that follow from it.
   InProcess(const std::string& config, const std::function<void(Limits&)>& change) {
-    SetLog(quiet_, Level::kOff);
-    std::promise<std::uint16_t> listens;
-    auto port = listens.get_future();
-    thread_ = std::thread([this, config, change, &listens] { Run(config, change, listens); });
+    SetLog(log_, Level::kOff);
+    std::promise<std::uint16_t> listening;
+    auto port = listening.get_future();
+    thread_ = std::thread([this, config, change, &listening] { Run(config, change, listening); });
     port_ = port.get();
   }
   ~InProcess() {
@@ -36,19 +37,19 @@
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   Fd Connect() const { return ConnectTo(address()); }
-  // While this holds, the router's loop does nothing: all that happens meanwhile it finds in one turn.
+  // Blocks the router's event loop until Thaw: it then finds all that happened meanwhile in one iteration.
   void Freeze() {
     frozen_ = true;
-    while (!standing_) std::this_thread::yield();
+    while (!blocked_) std::this_thread::yield();
   }
   void Thaw() {
     frozen_ = false;
-    while (standing_) std::this_thread::yield();
+    while (blocked_) std::this_thread::yield();
   }
 
  private:
   void Run(const std::string& text, const std::function<void(Limits&)>& change,
-           std::promise<std::uint16_t>& listens) {
+           std::promise<std::uint16_t>& listening) {
     Config config = ReadConfig(text, "", "", "", "");
     change(config.limits);
     const Limits& limits = config.limits;
@@ -63,20 +64,20 @@
     engine.Attach(servers, origin, watch);
     engine.Remember(config.known);
     ClientFront front(loop, engine, limits, config.settings.names, counters, config.listen);
-    const std::function<void()> look = [&] {
-      standing_ = true;
+    const std::function<void()> poll_control = [&] {
+      blocked_ = true;
       while (frozen_ && !stop_) std::this_thread::yield();
-      standing_ = false;
+      blocked_ = false;
       if (stop_) return loop.Stop();
-      loop.deadlines().Set(loop.Now() + std::chrono::milliseconds(2), look);
+      loop.deadlines().Set(loop.Now() + std::chrono::milliseconds(2), poll_control);
     };
-    look();
-    listens.set_value(front.port());
+    poll_control();
+    listening.set_value(front.port());
     loop.Run();
   }
 
-  std::ostringstream quiet_;
-  std::atomic<bool> stop_{false}, frozen_{false}, standing_{false};
+  std::ostringstream log_;
+  std::atomic<bool> stop_{false}, frozen_{false}, blocked_{false};
   std::uint16_t port_ = 0;
   std::thread thread_;
 };
