--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -1,5 +1,5 @@
-// What is still owed when something ends: each bad order is forced by peers that hold, release and reset at
-// a named point, never by a sleep.
+// What is still pending when a client, a connection, a process or a time limit ends. Each critical order of
+// events is forced by peers that wait, continue and reset at a defined point, not by a sleep.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -24,12 +24,12 @@
   return text.replace(at, from.size(), to);
 }
 
-// Until somebody's connection to that address is coming up, as the kernel's table says.
-void AwaitDial(const std::string& address) {
+// Waits until a connection to that address is being established (SYN_SENT), by the kernel's table.
+void AwaitConnecting(const std::string& address) {
   char port[8];
   std::snprintf(port, sizeof port, ":%04X", std::stoi(address.substr(address.rfind(':') + 1)));
-  const auto patience = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
-  while (std::chrono::steady_clock::now() < patience) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
+  while (std::chrono::steady_clock::now() < deadline) {
     std::ifstream table("/proc/net/tcp");
     std::string slot, local, remote, state;
     for (std::string line; std::getline(table, line);) {
@@ -38,11 +38,11 @@
     }
     std::this_thread::sleep_for(1ms);
   }
-  throw std::runtime_error("nobody connects to " + address);
+  throw std::runtime_error("no connection is being established to " + address);
 }
 
-// Of a client that takes little at a time: more than its side holds, less than the router's.
-const std::string kAnswerThatWaits = "VA 14000 Oa1\r\n" + std::string(14000, 'v') + "\r\n";
+// An answer larger than the receive buffer of SlowClient and smaller than the router's send buffer.
+const std::string kUnreadAnswer = "VA 14000 Oa1\r\n" + std::string(14000, 'v') + "\r\n";
 
 Fd SlowClient() {
   Fd client(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -51,30 +51,30 @@
   return client;
 }
 
-// Asked for by that client, it has left the router's program and waits in the router's kernel. Returns the
-// attempt's connection.
-Fd AnswerThatWaits(const Fd& client, const Listener& node) {
+// Lets that client request kUnreadAnswer, so that the router has written all of it and most of it waits in
+// the router's kernel. Returns the attempt's connection.
+Fd SendUnreadAnswer(const Fd& client, const Listener& server) {
   client.Write(Read("k", "a1"));
-  Fd attempt = node.Accept();
+  Fd attempt = server.Accept();
   attempt.Line();
-  attempt.Write(kAnswerThatWaits);
+  attempt.Write(kUnreadAnswer);
   pollfd answered{client.get(), POLLIN, 0};
   REQUIRE(::poll(&answered, 1, kTimeoutMs) == 1);
   return attempt;
 }
 
-// A listener whose queue is full: connections to it never come up until it accepts.
-class Deaf {
+// A listener whose accept queue can be filled: connections to it are then not established until Drain.
+class UnacceptingListener {
  public:
-  explicit Deaf(bool now = true) {
-    REQUIRE(::listen(at_.get(), 0) == 0);  // a queue of none takes one
-    if (now) Fill();
+  explicit UnacceptingListener(bool filled = true) {
+    REQUIRE(::listen(at_.get(), 0) == 0);  // a backlog of 0 still holds one connection
+    if (filled) Fill();
   }
   const std::string& address() const { return at_.address(); }
   int get() const { return at_.get(); }
   Fd Accept() const { return at_.Accept(); }
   void Fill() { fill_ = ConnectTo(at_.address()); }
-  // From now on it hears: what filled its queue goes.
+  // Empties the queue and enlarges it, so that connections are established from now on.
   void Drain() {
     ::listen(at_.get(), 16);
     at_.Accept();
@@ -87,12 +87,13 @@
 
 }  // namespace
 
-// ---- A client that goes ----
+// ---- A client that closes ----
 
-// Guards against work for nobody: the close stands right behind the commands as they are read.
-TEST_CASE("commands whose client has closed behind them reach no server") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against work for a client that is gone: its close is already in the socket, behind the commands,
+// when they are read.
+TEST_CASE("commands of a client that has already closed are not forwarded") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits&) {});
   Fd client = router.Connect(), other = router.Connect();
   client.Write("mn\r\n");
@@ -102,122 +103,121 @@
   client.Close();
   router.Thaw();
   other.Write(Read("k4", "a4"));
-  CHECK(node.Accept().Line().starts_with("mg k4 v Oa4"));  // the first to reach a server
+  CHECK(server.Accept().Line().starts_with("mg k4 v Oa4"));  // the first to reach a server
 }
 
-// Guards against a close that goes unseen while its client is not read.
-TEST_CASE("a client that goes while it is not read has its attempts closed, and none begun") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against a close that is not noticed while its client is not read.
+TEST_CASE("when a client closes while it is not read, its attempts are closed and no others start") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) { l.pipeline = 1; });
   Fd client = router.Connect(), other = router.Connect();
   client.Write(Read("k1", "a1", 60000) + Read("k2", "a2", 60000) + Read("k3", "a3", 60000));
-  Fd attempt = node.Accept();
+  Fd attempt = server.Accept();
   CHECK(attempt.Line().starts_with("mg k1 v Oa1"));  // the others wait behind it, unread
   client.Close();
-  CHECK(attempt.Ended());  // it is given up a minute before its time
+  CHECK(attempt.Ended());  // abandoned a minute before its deadline
   other.Write(Read("k4", "a4"));
-  CHECK(node.Accept().Line().starts_with("mg k4 v Oa4"));
+  CHECK(server.Accept().Line().starts_with("mg k4 v Oa4"));
 }
 
-TEST_CASE("a client that sends on past its last answer and goes has its attempts closed") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+TEST_CASE("when a client keeps sending after quit and then closes, its attempts are closed") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) { l.discard = 1000; });
   Fd client = router.Connect();
-  client.Write(Read("k1", "a1", 60000) + "quit\r\n" + std::string(5000, 'x'));  // more than is thrown away
-  Fd attempt = node.Accept();
+  client.Write(Read("k1", "a1", 60000) + "quit\r\n" + std::string(5000, 'x'));  // more than is discarded
+  Fd attempt = server.Accept();
   CHECK(attempt.Line().starts_with("mg k1 v Oa1"));
   client.Write(std::string(5000, 'x'));
   client.Close();
   CHECK(attempt.Ended());
 }
 
-// ---- A router that is held up ----
+// ---- A router that is delayed or stopped ----
 
-// Guards against answers that come after their client has gone: what arrives while the process stands still
-// has waited by the time it is read, and its time runs from its arrival.
-TEST_CASE("a request's time counts from its arrival, not from when a held-up router reads it") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against answers that are sent after their client has given up: a command that arrives while the
+// process is blocked has already waited when it is read, and its deadline counts from its arrival.
+TEST_CASE("a request's deadline counts from its arrival, not from when a blocked router reads it") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits&) {});
   Fd client = router.Connect();
   client.Write("mn\r\n");
   CHECK(client.Line() == "MN\r\n");
   router.Freeze();
   client.Write(Read("k", "a1", 5000));
-  std::this_thread::sleep_for(300ms);  // longer is as good
+  std::this_thread::sleep_for(300ms);  // a longer sleep does no harm
   router.Thaw();
-  Fd attempt = node.Accept();
+  Fd attempt = server.Accept();
   const std::string line = attempt.Line();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 300);
 }
 
-// Guards against the same where the loop itself cannot tell: it waits with no deadline near, and is
-// stopped.
-TEST_CASE(
-    "a request's time counts from its arrival at a router that is stopped while it has nothing to do") {
-  Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+// Guards against the same failure where the times of the loop's polls do not show the delay: the process is
+// stopped while its poll waits with no deadline near.
+TEST_CASE("a request's deadline counts from its arrival at an idle router that is stopped") {
+  Listener server;
+  Router router(Target("s1", server.address(), "in_service"));
   Fd client = router.Connect();
   client.Write("mn\r\n");
   CHECK(client.Line() == "MN\r\n");
   REQUIRE(::kill(router.process.pid, SIGSTOP) == 0);
   std::this_thread::sleep_for(20ms);
   client.Write(Read("k", "a1", 5000));
-  std::this_thread::sleep_for(150ms);  // longer is as good
+  std::this_thread::sleep_for(150ms);  // a longer sleep does no harm
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
-  Fd attempt = node.Accept();
+  Fd attempt = server.Accept();
   const std::string line = attempt.Line();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 120);
 }
 
-// Guards against deadlines that act before what came in time has been read: a poll that a stop interrupts
-// returns with deadlines due and nothing else.
-TEST_CASE("an answer that came in time counts though its router stood still past the request's time") {
-  Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+// Guards against deadlines that run before data that arrived in time was read: a poll that SIGSTOP
+// interrupts returns with deadlines due and no events.
+TEST_CASE("an answer that arrived in time counts even if the router was stopped past the deadline") {
+  Listener server;
+  Router router(Target("s1", server.address(), "in_service"));
   Fd client = router.Connect();
   client.Write(Read("k", "a1", 1000));
-  Fd attempt = node.Accept();
+  Fd attempt = server.Accept();
   attempt.Line();
   REQUIRE(::kill(router.process.pid, SIGSTOP) == 0);
   std::this_thread::sleep_for(50ms);
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  std::this_thread::sleep_for(1200ms);  // past the request's time; longer is as good
+  std::this_thread::sleep_for(1200ms);  // past the request's deadline; a longer sleep does no harm
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
   CHECK(client.Line() == "VA 1 Oa1\r\n");
 }
 
-// Guards against the same in front of a full table: a connection that is not accepted yet is taken all the
-// same, and what it brought waits.
-TEST_CASE("a request's time runs while its connection waits for a router that is full") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against the same failure when the client table is full: the kernel establishes a connection before
+// the router accepts it, and the command sent on it waits.
+TEST_CASE("a request's deadline counts while its connection waits in the accept queue of a full router") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
                      l.clients = 1;
                      l.hurry = 300ms;
                    });
   Fd silent = router.Connect();
-  std::this_thread::sleep_for(50ms);  // it is in, and there is room for no other
+  std::this_thread::sleep_for(50ms);  // it is accepted, and the table is full
   Fd client = router.Connect();
   client.Write(Read("k", "a1", 5000));
-  Fd attempt = node.Accept();  // once the silent one has made way
+  Fd attempt = server.Accept();  // once the silent one is evicted
   const std::string line = attempt.Line();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 200);
 }
 
-// ---- The start of a process, while signals come ----
+// ---- Signals and shortages during the start ----
 
-// Guards against a process that a new configuration, or its planned end, meets in the middle of its start:
-// it is held there, reading its configuration from a pipe.
-TEST_CASE("a signal that comes while the router still starts is answered once it has started") {
+// Guards against SIGHUP or SIGTERM being lost, or ending the process, during its start. The start is held
+// up by a configuration that the router reads from a pipe.
+TEST_CASE("a signal received during the start is handled once the router has started") {
   for (const int number : {SIGHUP, SIGTERM}) {
     INFO("signal " << number);
     Listener before, after;
@@ -245,8 +245,8 @@
   }
 }
 
-// Guards against a start that is refused for want of descriptors that are there a moment later.
-TEST_CASE("a router that finds no descriptor as it starts tries again, and serves") {
+// Guards against a start that fails for lack of descriptors that are available a moment later.
+TEST_CASE("a router that finds no free descriptor at its start tries again, and serves") {
   const std::string path = TemporaryFile();
   ::unlink(path.c_str());
   REQUIRE(::mkfifo(path.c_str(), 0600) == 0);
@@ -254,7 +254,7 @@
   router.path = path;
   Fd pipe(::open(path.c_str(), O_WRONLY | O_CLOEXEC));  // once the router reads it
   ::unlink(path.c_str());
-  // Two beyond those it holds, which the sanitizers take at times; it may have inherited some.
+  // Two more than it holds, which the sanitizers sometimes use; it may have inherited some.
   rlim_t held = 0;
   for (const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(router.pid) + "/fd")) {
@@ -265,7 +265,7 @@
   const std::string config = Router::Config("127.0.0.1:1", "");
   REQUIRE(::write(pipe.get(), config.data(), config.size()) == static_cast<ssize_t>(config.size()));
   pipe.Close();
-  std::this_thread::sleep_for(500ms);  // longer is as good, up to some seconds
+  std::this_thread::sleep_for(500ms);  // a longer sleep does no harm, up to some seconds
   REQUIRE(::prlimit(router.pid, RLIMIT_NOFILE, &enough, nullptr) == 0);
   AwaitStart(router);
   REQUIRE_FALSE(router.listen.empty());
@@ -276,27 +276,27 @@
   CHECK(router.Wait() == 0);
 }
 
-// ---- The end of a connection at rest, and of the process ----
+// ---- The end of idle connections, and of the process ----
 
-// Guards against answers that are lost behind a close: the client is slow to take them, and sends one
-// command more just as its connection ends.
-TEST_CASE("SIGTERM: answers that wait in the kernel arrive whole though a command crosses the close") {
-  Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+// Guards against answers that are lost because of a close: the client receives them slowly, and sends one
+// more command just as its connection ends.
+TEST_CASE("SIGTERM: answers waiting in the kernel arrive complete though a command crosses the close") {
+  Listener server;
+  Router router(Target("s1", server.address(), "in_service"));
   Fd client = SlowClient();
   client = ConnectTo(router.process.listen, std::move(client));
-  Fd attempt = AnswerThatWaits(client, node);
+  Fd attempt = SendUnreadAnswer(client, server);
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
   CHECK_FALSE(router.process.err.Until(" stops; ").empty());
-  std::this_thread::sleep_for(100ms);  // the router ends the connection; later is as good
+  std::this_thread::sleep_for(100ms);  // the router ends the connection; a longer sleep does no harm
   client.Write(Read("k", "late"));
-  CHECK(client.Until("v\r\n") == kAnswerThatWaits);
-  CHECK(client.Ended());  // and the late one is its client's to send again
+  CHECK(client.Until("v\r\n") == kUnreadAnswer);
+  CHECK(client.Ended());  // the late command is for the client to send again
   CHECK(router.process.Wait() == 0);
 }
 
-// Guards against an end in order that a supervisor's second word turns into a kill.
-TEST_CASE("signals that come once the router has done its work change nothing of its exit") {
+// Guards against an orderly exit that a second signal of a supervisor turns into death by that signal.
+TEST_CASE("signals received after the router has finished do not change its exit status") {
   for (int i = 0; i < 10; ++i) {
     Process router = Start(Router::Config("127.0.0.1:1", ""));
     REQUIRE(::kill(router.pid, SIGTERM) == 0);
@@ -311,31 +311,31 @@
   }
 }
 
-// Guards against answers that are lost as their connection makes way in a full table, for a command that
-// crosses the close.
-TEST_CASE("a full table: a client that has not taken its answer yet does not make way") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against answers that are lost because their connection is evicted from a full table while a
+// command crosses the close.
+TEST_CASE("a full table: a client that has not received all of its answer is not evicted") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
                      l.clients = 2;
-                     l.hurry = l.speak = l.rest = 1h;  // nobody goes for being slow
+                     l.hurry = l.speak = l.rest = 1h;  // no client is closed for being slow
                    });
   Fd client = ConnectTo(router.address(), SlowClient());
-  Fd attempt = AnswerThatWaits(client, node);
+  Fd attempt = SendUnreadAnswer(client, server);
   Fd other = router.Connect();
   other.Write("mn\r\n");
-  CHECK(other.Line() == "MN\r\n");  // room was looked for as it was let in
+  CHECK(other.Line() == "MN\r\n");  // its accept looked for a client to evict
   client.Write("mn\r\n");
-  CHECK(client.Until("v\r\n") == kAnswerThatWaits);
+  CHECK(client.Until("v\r\n") == kUnreadAnswer);
   CHECK(client.Line() == "MN\r\n");
 }
 
-// ---- What was decided before a connection came up ----
+// ---- Decisions that are outdated once a connection is established ----
 
-// Guards against a keyed write that goes out again after those who would drop it have forgotten it. Its
-// repeat's connection comes up only once the kernel asks again, a second later.
-TEST_CASE("a keyed repeat whose connection comes up after its window is not written") {
-  Deaf origin(false);
+// Guards against repeating a keyed write after the servers that would deduplicate it have forgotten it. The
+// repeat's connection is established only when the kernel retransmits its SYN, a second later.
+TEST_CASE("a keyed repeat whose connection is established after its window is not written") {
+  UnacceptingListener origin(false);
   Listener discovery;
   std::string config =
       Router::Config(discovery.address(), Target("o1", origin.address(), "in_service", 0, "origin"));
@@ -351,32 +351,33 @@
   origin.Fill();
   first.Close();  // it may have run
   std::this_thread::sleep_for(
-      400ms);  // past the window, and short of the kernel's next try; longer is as good
+      400ms);  // past the window, before the SYN is retransmitted; a longer sleep does no harm
   origin.Drain();
-  Fd next = origin.Accept();  // its connection comes up only now
+  Fd next = origin.Accept();  // its connection is established only now
   CHECK(client.Line().starts_with("SERVER_ERROR "));
   client.Write(PublishCommand("pkg2", "p2", "body"));
-  CHECK(next.Until("\r\n\r\n").starts_with("PUT /pkg2 "));  // nothing of the other was written
+  CHECK(next.Until("\r\n\r\n").starts_with("PUT /pkg2 "));  // nothing of the repeat was written
 }
 
-// Guards against a second copy that begins after the answer, where settings allow two at once: its
-// connection was still coming up when the first one was answered.
-TEST_CASE("a second copy whose connection comes up after the final answer is not written") {
-  Listener node, discovery;
-  Deaf other(false);
+// Guards against a second copy that starts after the answer, if the settings allow two at once: its
+// connection was still being established when the first copy was answered.
+TEST_CASE("a second copy whose connection is established after the final answer is not written") {
+  Listener server, discovery;
+  UnacceptingListener other(false);
   std::string config =
-      Router::Config(discovery.address(), Target("s1", node.address(), "in_service") + "," +
+      Router::Config(discovery.address(), Target("s1", server.address(), "in_service") + "," +
                                               Target("s2", other.address(), "in_service"));
   config = Replaced(config, R"("cancel":true,)", R"("cancel":true,"parallel_tries":true,)");
   InProcess router(config, [](Limits& l) { l.idle = 50ms; });
   Fd client = router.Connect();
-  std::vector<std::pair<Fd, bool>> attempts;  // at the node, or at the other
-  bool hears = true;                          // the other
-  // The next attempt's id, and where its connection stands in `attempts`.
+  std::vector<std::pair<Fd, bool>> attempts;  // true: at `server`, false: at `other`
+  bool other_accepts = true;
+  // The id of the next attempt, and the index of its connection in `attempts`.
   const auto next = [&] {
     for (;;) {
-      std::vector<pollfd> polled = {{node.get(), POLLIN, 0}, {hears ? other.get() : -1, POLLIN, 0}};
-      for (const auto& [fd, at_node] : attempts) polled.push_back({fd.get(), POLLIN, 0});
+      std::vector<pollfd> polled = {{server.get(), POLLIN, 0},
+                                    {other_accepts ? other.get() : -1, POLLIN, 0}};
+      for (const auto& [fd, at_server] : attempts) polled.push_back({fd.get(), POLLIN, 0});
       if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1) throw std::runtime_error("no attempt");
       for (std::size_t i = polled.size(); i-- > 2;) {
         if (polled[i].revents == 0) continue;
@@ -384,14 +385,15 @@
         if (!line.empty()) return std::pair(line.substr(line.find(" O") + 2, 3), i - 2);
         attempts.erase(attempts.begin() + static_cast<std::ptrdiff_t>(i - 2));
       }
-      if (polled[0].revents != 0) attempts.emplace_back(node.Accept(), true);
+      if (polled[0].revents != 0) attempts.emplace_back(server.Accept(), true);
       if (polled[1].revents != 0) attempts.emplace_back(other.Accept(), false);
     }
   };
   const auto answer = [&](const std::string& id, std::size_t at) {
     attempts[at].first.Write("VA 1 O" + id + "\r\nx\r\n");
   };
-  // Where the attempt of that id stands. On a slow machine a second copy of an earlier one may come first.
+  // The index in `attempts` of the attempt with that id. On a slow machine a second copy of an earlier
+  // request may arrive first.
   const auto await = [&](const std::string& id) {
     for (;;) {
       const auto [asked, at] = next();
@@ -399,7 +401,8 @@
       answer(asked, at);
     }
   };
-  // What answers take has to be known before there are second copies; and a key has to be at the node.
+  // The router sends second copies only once it knows the latency of answers, and the test needs a key
+  // whose requests go to `server`.
   std::string key;
   for (int i = 0; i < 100 && (i < 40 || key.empty()); ++i) {
     const std::string id = std::to_string(100 + i);
@@ -410,12 +413,12 @@
     CHECK(client.Until("x\r\n") == "VA 1 O" + id + "\r\nx\r\n");
   }
   REQUIRE_FALSE(key.empty());
-  hears = false;
+  other_accepts = false;
   other.Fill();
   std::erase_if(attempts, [](const auto& a) { return !a.second; });
   client.Write(Read(key, "999"));
   const std::size_t at = await("999");
-  AwaitDial(other.address());  // the second copy's connection is on its way
+  AwaitConnecting(other.address());  // the second copy's connection is being established
   answer("999", at);
   CHECK(client.Until("x\r\n") == "VA 1 O999\r\nx\r\n");
   other.Drain();
@@ -425,45 +428,45 @@
 
 // ---- Discovery ----
 
-// Guards against one customer's settings in another's router: where lists are pushed nobody ever called.
-TEST_CASE("a list that is pushed is heard at once, and again as soon as its agent is back") {
-  Listener node, agent;
-  std::string config = Router::Config(agent.address(), Target("s1", node.address(), "in_service"));
+// Guards against a router that never calls discovery if the settings say that lists are pushed.
+TEST_CASE("a pushed list is received at once, and again as soon as its agent is back") {
+  Listener server, agent;
+  std::string config = Router::Config(agent.address(), Target("s1", server.address(), "in_service"));
   config = Replaced(config, R"("registry_mode":"on_request")", R"("registry_mode":"pushed")");
   config = Replaced(config, R"("balancers":1,)",
-                    R"("balancers":60000,)");  // a spread call would take 50 minutes
+                    R"("balancers":60000,)");  // a call that is spread over the fleet would take 50 minutes
   config = Replaced(config, R"("ask_within":10000000000)", R"("ask_within":10000000000000)");
   Process process = Start(config, agent.address());
   for (int rev = 1; rev < 4; ++rev) {
     Fd watch = agent.Accept();
     CHECK(WatchCall(watch).starts_with("GET /api/targets?since=" + std::to_string(rev) + "&"));
     const std::string state = rev % 2 == 1 ? "terminating" : "in_service";
-    watch.Write(Http(List(rev + 1, false, Target("s1", node.address(), state))));
-    CHECK_FALSE(process.err.Until("s1 at " + node.address() + " is ").empty());
-    WatchCall(watch);  // the next one is out; the agent dies under it
+    watch.Write(Http(List(rev + 1, false, Target("s1", server.address(), state))));
+    CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is ").empty());
+    WatchCall(watch);  // the next call is open; the agent dies during it
   }
 }
 
-// Guards against the time of a whole watch for a connection to discovery that never comes up.
-TEST_CASE("a connection to discovery that never comes up is given up long before a watch would be") {
-  Listener node;
-  Deaf discovery;
-  Process process = Start(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against waiting as long as for a watch when a connection to discovery is never established.
+TEST_CASE("a connection to discovery that is not established is given up long before a watch would be") {
+  Listener server;
+  UnacceptingListener discovery;
+  Process process = Start(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                           discovery.address());
   CHECK_FALSE(process.err.Until("warn discovery: ").empty());
   CHECK(process.err.Until("\n").find(": no connection in time;") !=
         std::string::npos);  // not a silent watch
 }
 
-// Guards against clients that leave discovery no descriptor: they hold what they are given, and say
+// Guards against clients that leave no descriptor for discovery: they keep their connections open and send
 // nothing.
-TEST_CASE("idle clients that take every descriptor while discovery is down do not keep its news out") {
+TEST_CASE("idle clients that use every descriptor while discovery is down do not block its updates") {
   constexpr rlim_t kSockets = 64;
-  Listener node, discovery;
+  Listener server, discovery;
   const std::string address = discovery.address();
   discovery.Close();
   Process process =
-      Start(Router::Config(address, Target("s1", node.address(), "in_service"), kSockets), address);
+      Start(Router::Config(address, Target("s1", server.address(), "in_service"), kSockets), address);
   const rlimit most{kSockets, kSockets};
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &most, nullptr) == 0);
   CHECK_FALSE(process.err.Until("connection lost").empty());
@@ -471,7 +474,7 @@
   const std::string listen = process.listen;
   for (int i = 0; i < 200; ++i) {
     idle.push_back(ConnectTo(listen));
-    if (i % 2 == 0) continue;  // half of them speak once
+    if (i % 2 == 0) continue;  // half of them send one command
     idle.back().Write("mn\r\n");
     CHECK(idle.back().Line() == "MN\r\n");
   }
@@ -481,11 +484,11 @@
   Listener back(discovery.port());
   Fd watch = back.Accept();
   CHECK(WatchCall(watch).starts_with("GET /api/targets?since=1&"));
-  watch.Write(Http(List(2, false, Target("s1", node.address(), "terminating"))));
-  CHECK_FALSE(process.err.Until("s1 at " + node.address() + " is terminating").empty());
+  watch.Write(Http(List(2, false, Target("s1", server.address(), "terminating"))));
+  CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is terminating").empty());
 }
 
-TEST_CASE("processes that begin together, without discovery, are ready within ten seconds") {
+TEST_CASE("processes started together without discovery are ready within ten seconds") {
   Listener discovery;
   discovery.Close();
   constexpr int kProcesses = 16;
@@ -501,16 +504,16 @@
   CHECK(ready * 10 >= kProcesses * 9);
 }
 
-TEST_CASE("an answer of discovery that stops half way costs no whole watch") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+TEST_CASE("an answer of discovery that stops half way is given up long before a watch would be") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
                      l.watch = 1h;
                      l.call_answer = 50ms;
                    });
   Fd watch = discovery.Accept();
   WatchCall(watch);
-  const std::string answer = Http(List(2, false, Target("s1", node.address(), "terminating")));
+  const std::string answer = Http(List(2, false, Target("s1", server.address(), "terminating")));
   watch.Write(answer.substr(0, answer.size() / 2));
   CHECK(watch.Ended());
   Fd again = discovery.Accept();
@@ -519,10 +522,11 @@
   CHECK(WatchCall(again).starts_with("GET /api/targets?since=2&"));
 }
 
-// Guards against silence that is found twice over: the call after it shows at once whether it is heard.
-TEST_CASE("the call that opens a silent watch anew does not wait, and a second silence is soon found") {
-  Listener node, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", node.address(), "in_service")),
+// Guards against a second full watch time before an unresponsive discovery is noticed again: the call after
+// an unresponsive watch asks for an immediate answer.
+TEST_CASE("the call after an unresponsive watch asks for an immediate answer and soon times out too") {
+  Listener server, discovery;
+  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
                      l.watch = 30ms;
                      l.watch_spread = 0ms;
@@ -531,22 +535,22 @@
                    });
   Fd watch = discovery.Accept();
   CHECK(WatchCall(watch).find("since=1&timeout_ms=30 ") != std::string::npos);
-  Fd anew = discovery.Accept();  // nothing was said on the first
+  Fd reopened = discovery.Accept();  // the first one was not answered
   CHECK(watch.Ended());
-  CHECK(WatchCall(anew).find("since=1&timeout_ms=0 ") != std::string::npos);
-  Fd third = discovery.Accept();  // nor on this one
-  CHECK(anew.Ended());
+  CHECK(WatchCall(reopened).find("since=1&timeout_ms=0 ") != std::string::npos);
+  Fd third = discovery.Accept();  // nor was this one
+  CHECK(reopened.Ended());
   WatchCall(third);
 }
 
-// Guards against a late copy of an earlier answer: it would put a server that drains back into service.
-TEST_CASE("a whole list that is older than the one held changes nothing and is asked for once more") {
-  Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+// Guards against a late copy of an earlier answer, which would put a draining server back into service.
+TEST_CASE("a whole list older than the one held changes nothing and is requested again") {
+  Listener server;
+  Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   WatchCall(discovery);
-  const std::string old = Http(List(2, true, Target("s1", node.address(), "in_service")));
-  discovery.Write(Http(List(3, true, Target("s1", node.address(), "terminating"))));
+  const std::string old = Http(List(2, true, Target("s1", server.address(), "in_service")));
+  discovery.Write(Http(List(3, true, Target("s1", server.address(), "terminating"))));
   WatchCall(discovery);
   discovery.Write(old);
   CHECK_FALSE(router.process.err.Until("a list of version 2, older than what is held").empty());
@@ -554,13 +558,13 @@
   CHECK(WatchCall(again).starts_with("GET /api/targets HTTP"));
 }
 
-TEST_CASE("what discovery sends beyond an answer is not taken for the next one") {
-  Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+TEST_CASE("bytes that discovery sends after an answer are not parsed as the next answer") {
+  Listener server;
+  Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   WatchCall(discovery);
   discovery.Write(Http(List(2, false, "")) +
-                  Http(List(9, true, Target("s2", node.address(), "in_service"))));
+                  Http(List(9, true, Target("s2", server.address(), "in_service"))));
   CHECK(discovery.Ended());
   Fd again = router.discovery.Accept();
   CHECK(WatchCall(again).starts_with("GET /api/targets?since=2&"));
