--- a/tests/net/message_end_test.cpp
+++ b/tests/net/message_end_test.cpp
@@ -1,5 +1,5 @@
-// Where an answer ends: what is complete by its protocol is passed on, what was cut never is (RFC 9112, 6.3
-// and 8).
+// The end of an answer: one that is complete by its protocol is passed on, a truncated one never is (RFC
+// 9112, 6.3 and 8).
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <string>
@@ -11,18 +11,18 @@
 
 namespace {
 
-// Closes with a reset, as the system does for a process that dies.
+// Closes with a reset, as the kernel does for a process that dies.
 void Reset(Fd& fd) {
-  const linger hard{1, 0};
-  REQUIRE(::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard) == 0);
+  const linger reset{1, 0};
+  REQUIRE(::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset) == 0);
   fd.Close();
 }
 
 }  // namespace
 
 TEST_CASE(
-    "an answer with no length ends with its connection: closed in order it is whole, reset it is not") {
-  SECTION("the origin's") {
+    "an answer without a length is complete if its connection is closed orderly, not if it is reset") {
+  SECTION("from the origin") {
     Router router("");
     Fd client = router.Connect();
     int id = 100;
@@ -46,15 +46,15 @@
       origin.Close();
       CHECK(client.Line() == "HD O" + write + " creceipt-9\r\n");
     }
-    const std::string cut_ones[] = {
+    const std::string truncated_answers[] = {
         "HTTP/1.1 200 OK\r\n\r\nwhole?", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nrecei",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nrecei\r\n", "HTTP/1.1 200 OK\r\n", ""};
-    for (const std::string& cut : cut_ones) {
-      INFO(cut);
+    for (const std::string& truncated : truncated_answers) {
+      INFO(truncated);
       Fd origin = ask(PublishCommand("p", std::to_string(++id), "body"));
       origin.Until("body");
-      origin.Write(cut);
-      if (&cut == &cut_ones[0]) {
+      origin.Write(truncated);
+      if (&truncated == &truncated_answers[0]) {
         Reset(origin);
       } else {
         origin.Close();
@@ -62,32 +62,33 @@
       CHECK(client.Line() == "SERVER_ERROR failed\r\n");
     }
   }
-  SECTION("discovery's") {
-    Listener node;
-    Router router(Target("s1", node.address(), "in_service"));
+  SECTION("from discovery") {
+    Listener server;
+    Router router(Target("s1", server.address(), "in_service"));
     Fd discovery = router.discovery.Accept();
     WatchCall(discovery);
     discovery.Write("HTTP/1.1 200 OK\r\n\r\n" +
-                    List(2, false, Target("s1", node.address(), "terminating")));
+                    List(2, false, Target("s1", server.address(), "terminating")));
     discovery.Close();
-    CHECK_FALSE(router.process.err.Until("s1 at " + node.address() + " is terminating").empty());
+    CHECK_FALSE(router.process.err.Until("s1 at " + server.address() + " is terminating").empty());
   }
 }
 
-// Guards against a reset that is taken for an orderly close: the router stands still while the answer is
-// cut, and looks at its deadlines before it reads.
-TEST_CASE("an answer with no length that is reset while the router stands still is not whole") {
+// Guards against a reset that is mistaken for an orderly close: the router is stopped while the connection
+// is reset, and runs its deadlines before it reads.
+TEST_CASE("an answer without a length that is reset while the router is stopped is not complete") {
   Router router("");
   Fd client = router.Connect();
   client.Write(PublishCommand("p", "a1", "body"));
   Fd origin = router.origin.Accept();
   origin.Until("body");
   origin.Write("HTTP/1.1 200 OK\r\n\r\nrecei");
-  std::this_thread::sleep_for(std::chrono::milliseconds(100));  // it is read, and the rest waited for
+  std::this_thread::sleep_for(
+      std::chrono::milliseconds(100));  // the router reads it and waits for the rest
   REQUIRE(::kill(router.process.pid, SIGSTOP) == 0);
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   Reset(origin);
-  std::this_thread::sleep_for(std::chrono::milliseconds(600));  // past the time for the rest
+  std::this_thread::sleep_for(std::chrono::milliseconds(600));  // past the deadline for the rest
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
   CHECK(client.Line() == "SERVER_ERROR failed\r\n");
 }
