--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -1,5 +1,5 @@
-// The parsers, as tables of cases. Each whole message is also fed cut short at every byte: no prefix of it
-// may pass for the whole.
+// The parsers, as tables of cases. Each complete message is also parsed truncated at every byte: no prefix
+// of it may be accepted as complete.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("commands of clients") {
+TEST_CASE("commands from clients") {
   struct Case {
     std::string in;
     Parsed parsed;
@@ -60,10 +60,11 @@
       {"mg  Oa1\r\n", Parsed::kDone, Verb::kMalformed},
       {"mg k\tk v Oa1\r\n", Parsed::kDone, Verb::kMalformed},
       {"mg k v Oa1 P\x01\r\n", Parsed::kDone, Verb::kMalformed},
-      {"mg k v Oa1 Ob2 Pc=read\r\n", Parsed::kDone, Verb::kMalformed},  // which of the two is meant?
+      {"mg k v Oa1 Ob2 Pc=read\r\n", Parsed::kDone, Verb::kMalformed},  // ambiguous
       {"mg k v Oa1 Pc=read Pc=put\r\n", Parsed::kDone, Verb::kMalformed},
       {"mg k v Oa1 Pc=read Oa1 Pc=read\r\n", Parsed::kDone, Verb::kRequest, "k", "a1", ""},
-      {"ms k 2\r\nab\r\n", Parsed::kDone, Verb::kMalformed},  // framing holds: only this one is lost
+      {"ms k 2\r\nab\r\n", Parsed::kDone,
+       Verb::kMalformed},  // the framing is intact: only this command fails
       {"ms k 41 Oa1\r\n", Parsed::kBad},
       {"ms k x Oa1\r\n", Parsed::kBad},
       {"ms k -1 Oa1\r\n", Parsed::kBad},
@@ -98,7 +99,7 @@
   CHECK(command.verb == Verb::kMalformed);
 }
 
-TEST_CASE("labels describe a request; unknown names pass, what cannot be meant does not") {
+TEST_CASE("labels describe a request; unknown names are ignored, invalid values refused") {
   const Names names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
   struct Case {
     std::string labels;
@@ -132,22 +133,22 @@
   }
 }
 
-TEST_CASE("what is written") {
+TEST_CASE("formatted messages") {
   CHECK(WriteAttempt(kRead, 123999us) == "mg k v Oid7 Pc=read,d=123\r\n");
   CHECK(WriteAttempt(kRead, 1us) == "mg k v Oid7 Pc=read,d=1\r\n");  // 0 could mean no limit
   CHECK(WriteAttempt(kWrite, 1s) == "ms k 5 Oid7\r\nhello\r\n");
   CHECK(WriteOriginAttempt("h:1", {"i", "a/b c", "t=x", "v", true}, 1s) ==
         "PUT /a%2Fb%20c HTTP/1.1\r\nHost: h:1\r\nX-Txn: i\r\nX-Labels: t=x\r\nContent-Length: 1\r\n\r\nv");
-  for (const auto& [labels, told] : {std::pair{"c=read,d=4000", "c=read,d=123"},
-                                     {"d=4000,c=read", "d=123,c=read"},
-                                     {"d=4000,t=d,d=4000,late=4000", "d=123,t=d,d=123,late=4000"},
-                                     {"c=read", "c=read"},
-                                     {",,flag,c=read,", ",,flag,c=read,"}}) {
-    CHECK(LabelsWithin(labels, 123999us) == told);
+  for (const auto& [labels, sent_labels] : {std::pair{"c=read,d=4000", "c=read,d=123"},
+                                            {"d=4000,c=read", "d=123,c=read"},
+                                            {"d=4000,t=d,d=4000,late=4000", "d=123,t=d,d=123,late=4000"},
+                                            {"c=read", "c=read"},
+                                            {",,flag,c=read,", ",,flag,c=read,"}}) {
+    CHECK(LabelsWithin(labels, 123999us) == sent_labels);
     CHECK(WriteAttempt({"i", "k", labels, "", false}, 123999us) ==
-          std::string("mg k v Oi P") + told + "\r\n");
+          std::string("mg k v Oi P") + sent_labels + "\r\n");
     CHECK(WriteOriginAttempt("h:1", {"i", "k", labels, "", false}, 123999us) ==
-          std::string("GET /k HTTP/1.1\r\nHost: h:1\r\nX-Txn: i\r\nX-Labels: ") + told + "\r\n\r\n");
+          std::string("GET /k HTTP/1.1\r\nHost: h:1\r\nX-Txn: i\r\nX-Labels: ") + sent_labels + "\r\n\r\n");
   }
   CHECK(ListPath(41, 4s) == "/api/targets?since=41&timeout_ms=4000");
   CHECK(ListPath(std::nullopt, 4s) == "/api/targets");
@@ -156,14 +157,14 @@
   AppendAnswer(out, "i", {AnswerKind::kReceipt, "r9", {}}, kLimits);
   AppendAnswer(out, "i", {AnswerKind::kRefused, "", 150ms}, kLimits);
   AppendAnswer(out, "i", {AnswerKind::kRefused, "", 9s}, kLimits);
-  AppendAnswer(out, "i", {AnswerKind::kRefused, "", 9s}, Limits());  // where none may be stated
+  AppendAnswer(out, "i", {AnswerKind::kRefused, "", 9s}, Limits());  // where no delay may be stated
   AppendAnswer(out, "i", {AnswerKind::kFailed, "", {}}, kLimits);
   CHECK(out ==
         "VA 4 Oi\r\na\r\nb\r\nHD Oi cr9\r\nSERVER_ERROR busy 150\r\nSERVER_ERROR busy 2000\r\n"
         "SERVER_ERROR busy\r\nSERVER_ERROR failed\r\n");
 }
 
-TEST_CASE("answers of cache servers") {
+TEST_CASE("answers from cache servers") {
   struct Case {
     RequestContent request;
     std::string in;
@@ -180,7 +181,7 @@
       {kRead, "SERVER_ERROR busy\r\n", Parsed::kDone, Result::kFull},
       {kRead, "SERVER_ERROR failed\r\n", Parsed::kDone, Result::kError},
       {kWrite, "HD Oid7 cr1\r\n", Parsed::kDone, Result::kOk, "r1"},
-      {kRead, "VA 3 Oother\r\nabc\r\n", Parsed::kBad},  // an answer to something else
+      {kRead, "VA 3 Oother\r\nabc\r\n", Parsed::kBad},  // the answer to another request
       {kRead, "VA 3\r\nabc\r\n", Parsed::kBad},
       {kRead, "VA 41 Oid7\r\n", Parsed::kBad},
       {kRead, "VA 2 Oid7\r\nabc\r\n", Parsed::kBad},
@@ -213,7 +214,8 @@
   REQUIRE(ParseProbeReply("STAT queue 3\r\nSTAT new 1\r\nEND\r\n", true, kLimits, used, end) ==
           Parsed::kDone);
   CHECK(end.report->queue == 3);
-  for (const char* odd : {"nan", "inf", "-1", "1e300", "3x", ""}) {  // spoils the figure, not the answer
+  for (const char* odd :
+       {"nan", "inf", "-1", "1e300", "3x", ""}) {  // invalidates the number, not the answer
     INFO(odd);
     REQUIRE(ParseProbeReply("STAT queue " + std::string(odd) + "\r\nSTAT util 0.5\r\nEND\r\n", true,
                             kLimits, used, end) == Parsed::kDone);
@@ -246,7 +248,7 @@
       {Chunked("ffffffffffffffff\r\n"), Parsed::kBad},
       {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" +
            Sized("200 OK", "abc"),
-       Parsed::kDone, 200, "abc"},  // interim answers say nothing of it
+       Parsed::kDone, 200, "abc"},  // interim answers are skipped
       {"HTTP/1.1 101 Switching\r\n\r\n" + Sized("200 OK", "abc"), Parsed::kBad},
       {many_interim + Sized("200 OK", "abc"), Parsed::kBad},
       {no_length + "until the end", Parsed::kMore},
@@ -275,12 +277,12 @@
     CHECK(answer.status == c.status);
     CHECK(answer.body == c.body);
     CHECK(answer.keep == c.keep);
-    // A part of it is never taken for the whole, however its connection ends; a close ends but those that
-    // state no length.
-    const InputEnd worst = c.in.starts_with(no_length) ? InputEnd::kOpen : InputEnd::kClosed;
+    // A prefix is never accepted as complete, however its connection ends; only an answer without a stated
+    // length ends with an orderly close.
+    const InputEnd input_end = c.in.starts_with(no_length) ? InputEnd::kOpen : InputEnd::kClosed;
     for (std::size_t n = 0; n < c.in.size(); ++n) {
       const std::string_view part = std::string_view(c.in).substr(0, n);
-      CHECK(ParseHttpAnswer(part, kLimits.value, kLimits, worst, used, answer) == Parsed::kMore);
+      CHECK(ParseHttpAnswer(part, kLimits.value, kLimits, input_end, used, answer) == Parsed::kMore);
     }
   }
 }
@@ -295,7 +297,7 @@
   CHECK(read(500, false, kRead).result == Result::kError);
   CHECK(read(503, true, kRead).result == Result::kFull);
   CHECK(read(504, true, kRead).result == Result::kFull);
-  CHECK(read(503, false, kRead).result == Result::kError);  // no promise that it never ran
+  CHECK(read(503, false, kRead).result == Result::kError);  // it may have run
   CHECK(read(500, true, kRead).result == Result::kError);
   CHECK(read(200, false, kRead).report->queue == 2);
   const AttemptEnd odd = ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
@@ -305,7 +307,7 @@
   CHECK(odd.report->util == 0.5);
 }
 
-TEST_CASE("server lists are taken whole or not at all") {
+TEST_CASE("server lists are accepted whole or not at all") {
   const Names names{{}, {}, {"a", "b"}, {"m1", "m2"}};
   const std::string good = R"({"uid":"s1","endpoint":"127.0.0.1:5","az":"b","model":"m2","pod_group":3,)"
                            R"("state":"in_service","capacity_hint":1.5,"boot_ms":2000,"later":[{}]})";
@@ -336,37 +338,38 @@
   }
 }
 
-TEST_CASE("of a server list that stops half way the whole entries are read, wherever it stops") {
+TEST_CASE("the complete entries of a truncated server list are read, wherever it is truncated") {
   const Names names{{}, {}, {"a"}, {"m1"}};
   const std::string entry =
       R"({"uid":"s[1]\"}","endpoint":"127.0.0.1:5","state":"terminating","more":{"targets":[1]}})";
   const std::string gone = R"({"uid":"s2","state":"terminated"})";
   const std::string head = R"({ "more" : {"targets":[]}, "rev":41 , "all":false, "targets" : [)";
   const std::string whole = head + " " + entry + ",\n" + gone + "]}";
-  ListReader grows(names, kLimits);
+  ListReader incremental(names, kLimits);
   std::size_t entries = 0;
   for (std::size_t end = 0; end <= whole.size(); ++end) {
     INFO(whole.substr(0, end));
     const std::size_t first = head.size() + 1 + entry.size(), second = first + 2 + gone.size();
-    const std::size_t came = std::size_t{end >= first} + std::size_t{end >= second};
+    const std::size_t complete = std::size_t{end >= first} + std::size_t{end >= second};
     ListReader at_once(names, kLimits);
     at_once.Feed(std::string_view(whole).substr(0, end));
     const auto part = at_once.TakeCompletedEntries();
-    REQUIRE(part.has_value() == (came > 0));
-    if (part) CHECK(part->entries.size() == came);
-    grows.Feed(std::string_view(whole).substr(0, end));
-    if (const auto fresh = grows.TakeCompletedEntries()) {
+    REQUIRE(part.has_value() == (complete > 0));
+    if (part) CHECK(part->entries.size() == complete);
+    incremental.Feed(std::string_view(whole).substr(0, end));
+    if (const auto fresh = incremental.TakeCompletedEntries()) {
       CHECK(fresh->rev == 41);
       CHECK_FALSE(fresh->all);
       CHECK(fresh->entries.size() == 1);
       CHECK(fresh->entries[0].uid == (entries == 0 ? "s[1]\"}" : "s2"));
       entries += fresh->entries.size();
     }
-    CHECK(entries == came);
+    CHECK(entries == complete);
   }
   for (const std::string& bad :
-       {std::string(R"({"targets":[)") + entry + R"(],"rev":41,"all":true})",  // no version before them
-        std::string(R"({"rev":-1,"all":true,"targets":[)") + entry,            // one that cannot be
+       {std::string(R"({"targets":[)") + entry +
+            R"(],"rev":41,"all":true})",                             // no version before the entries
+        std::string(R"({"rev":-1,"all":true,"targets":[)") + entry,  // an invalid version
         std::string(R"({"rev":99999999999999999999,"all":true,"targets":[)") + entry,
         head + R"({"uid":"s1","state":"dozing"},)" + gone, head + "}}]", std::string("[[")}) {
     INFO(bad);
@@ -376,11 +379,11 @@
   }
 }
 
-TEST_CASE("an HTTP answer is read as its bytes come, in each of its forms, however it is cut") {
+TEST_CASE("an HTTP answer in any form is read as its bytes arrive, in pieces of any size") {
   const std::string status = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n";
   struct Form {
-    std::string rest, body;  // "none": no body was begun
-    Parsed open, closed;     // what it is while the connection is open, and once that has ended
+    std::string rest, body;  // "none": the head is incomplete
+    Parsed open, closed;     // the result while the connection is open, and once it is closed
     std::size_t surplus = 0;
   };
   const Form forms[] = {
@@ -420,29 +423,29 @@
       R"([{"name":"read","give_up":2500000000}],"allowed":{"conn_idle":5000000000,"max_attempts":3}},)"
       R"("limits":{"sockets":100,"memory_mb":64},"known":{"rev":4,"all":true,"targets":[]}})";
   const Config c = ReadConfig(good, "", "127.0.0.9:9", "");
-  CHECK(c.listen == "127.0.0.9:9");  // a variable goes before the file
+  CHECK(c.listen == "127.0.0.9:9");  // the environment variable overrides the file
   CHECK(c.name == "n1");
   CHECK(c.seed == 255);
   CHECK(c.known.rev == 4);
   CHECK(c.limits.idle == 3s);
-  std::string priced = good;  // where a handshake has a price, kept connections rest for longer
+  std::string priced = good;  // if a handshake has a price, connections are kept idle for longer
   priced.replace(priced.find("\"allowed\""), 0, R"("fees":{"handshake":0.08},)");
   CHECK(ReadConfig(priced, "", "", "").limits.idle == 4500ms);
   CHECK(c.limits.max_attempts == 3);
   CHECK(c.limits.answer == 500ms);
-  std::string quick = good;  // an answer that stops half-way must be found out well within the aim
+  std::string quick = good;  // an answer that stops half-way must be detected well within the aim
   quick.replace(quick.find("\"give_up\""), 0, "\"aim\":400000000,");
   CHECK(ReadConfig(quick, "", "", "").limits.answer == 50ms);
   CHECK(c.limits.clients + c.limits.attempt_conns < 90);
   CHECK(c.limits.requests * c.limits.value < 64u << 20);
   for (const auto& [memory, sockets] : {std::pair{32u, 256}, {192u, 1024}, {48u, 384}}) {
-    std::string sized = good;  // all that others can make it hold at once leaves a fifth for the program
+    std::string sized = good;  // what peers can make it buffer leaves a fifth of the memory to the program
     sized.replace(sized.find("100,\"memory_mb\":64"), 18,
                   std::to_string(sockets) + ",\"memory_mb\":" + std::to_string(memory));
     const Limits l = ReadConfig(sized, "", "", "").limits;
     const std::size_t worst = l.clients * (l.value + 2 * l.line + l.unsent) + l.requests * l.value * 3 / 2;
     CHECK(worst < std::size_t{memory} * 1024 * 1024 * 4 / 5);
-    CHECK(l.clients >= static_cast<std::size_t>(sockets) / 3);  // what usual clients may hold
+    CHECK(l.clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
     CHECK(l.pipeline <= l.requests / 4);
   }
   for (const auto& [from, to] :
