--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -1,6 +1,7 @@
-// What really happened in a run, as the emulator and the clients saw it: never the router's word. The world
-// and the load write their halves on threads of their own; they are put together once both have stopped.
-// Times are Unix time; two threads' clocks agree to a few microseconds.
+// The record of one run, as the emulated servers and the clients observed it; nothing in it is reported by
+// the routers themselves. The world and the load each write their half on their own thread; the halves are
+// combined once both threads have stopped. Times are Unix time; the clocks of the two threads agree to
+// within a few microseconds.
 #ifndef BRASSWOOD_LAB_TRUTH_TRUTH_H_
 #define BRASSWOOD_LAB_TRUTH_TRUTH_H_
 
@@ -18,7 +19,8 @@
 
 namespace brasswood::lab {
 
-// A request's id on the wire is 16 hexadecimal digits of this number; 0 stands for an id of another form.
+// A request's id on the wire is this number in 16 hexadecimal digits. 0 means that the id on the wire had
+// another form.
 using RequestId = std::uint64_t;
 
 inline std::string IdText(RequestId id) {
@@ -34,23 +36,25 @@
   return end == copy.c_str() + 16 ? id : 0;
 }
 
-// "12.34 ms".
+// Formats a duration, for example as "12.34 ms".
 inline std::string InMs(Duration d) {
   std::ostringstream out;
   out << static_cast<double>(d.count() / 10000) / 100 << " ms";
   return out.str();
 }
 
-constexpr int kOrigin = 0;  // the number of the origin among the machines
+constexpr int kOrigin = 0;  // index of the origin in WorldTruth::machines
 
+// A cache server or the origin.
 struct MachineRecord {
   std::string uid, kind;
   int hall = 0;
   Capacity capacity;
-  std::vector<Time> starts;  // those of its restarts, in order; capacity.started is the latest
-  Time gone{0};              // 0: still there at the end
-  bool fell = false;         // under a push, or, the origin, under load
-  // As it stood at that moment. Guards against a later start being applied to work taken before it.
+  std::vector<Time> starts;  // times of its restarts, in order; capacity.started is the latest
+  Time gone{0};              // when its process ended; 0: it runs at the end
+  bool fell = false;         // overloaded (a cache server: while cold), and therefore stopped serving
+  // The capacity as it was at that moment. Guards against applying a later restart to work that was
+  // received before it.
   Capacity CapacityAt(Time at) const {
     Capacity then = capacity;
     if (starts.empty() || at >= capacity.started) return then;
@@ -60,21 +64,21 @@
     }
     return then;
   }
-  Time first_started{0};  // before any restart
+  Time first_started{0};  // start time before any restart
 };
 
-// What became of an attempt that reached a machine whole.
+// How an attempt ended whose command or request was received completely by a server.
 enum class Fate : std::uint8_t {
-  kOpen,        // nothing yet
-  kHit,         // served from what the node kept
-  kMiss,        // answered EN: without effect
-  kServed,      // by the origin: a value, or a receipt of a write
-  kTurnedAway,  // told that it never ran
-  kFailed,      // told that it may have run
-  kSwallowed,   // taken and never answered
-  kCut,         // the router closed the connection first
-  kReset,       // the machine broke the connection
-  kSpoilt       // answered with noise, or with half an answer
+  kOpen,        // not ended yet
+  kHit,         // served from the cache server's store
+  kMiss,        // answered EN: no effect
+  kServed,      // answered by the origin: a value, or a receipt of a write
+  kTurnedAway,  // rejected with an answer that says it did not run
+  kFailed,      // answered with an error that leaves open whether it ran
+  kSwallowed,   // accepted and never answered
+  kCut,         // the router closed the connection before the answer
+  kReset,       // the server reset the connection
+  kSpoilt       // answered with garbage or with half of an answer
 };
 inline constexpr std::string_view kFateNames[] = {"open",   "hit",       "miss", "served", "turned away",
                                                   "failed", "swallowed", "cut",  "reset",  "spoilt"};
@@ -82,33 +86,34 @@
 struct AttemptRecord {
   RequestId request = 0;
   int machine = 0, router = 0;
-  Time first{0}, whole{0};  // when its first and its last byte were read
-  Time end{0};              // when its answer was written, or its connection was seen closed; 0: never
+  Time first{0}, whole{0};  // when the server read its first and its last byte
+  Time end{0};  // when its answer was written or its connection was found closed; 0: neither happened
   Fate fate = Fate::kOpen;
   bool write = false;
-  bool applied = false;      // a write that took effect
-  bool no_length = false;    // its answer stated no length and came whole, with an orderly close
-  bool cold_miss = false;    // a fetch for a request that had missed at a cold node
-  float work_s = 0;          // asked of the machine, in standard seconds
-  std::uint32_t serial = 0;  // stands in the value or receipt made for it
+  bool applied = false;    // a write that took effect
+  bool no_length = false;  // its answer was complete but stated no length, and ended with an orderly close
+  bool cold_miss = false;  // a fetch for a request that had missed at a cold cache server
+  float work_s = 0;        // work it cost the server, in seconds of a core of speed 1
+  std::uint32_t serial = 0;  // unique number, contained in the value or receipt made for it
 };
 
-// A router was told that a machine is not in service any more: when the whole of it was written.
+// A router was notified that a server is no longer in service; `at` is when all of the entry was written.
 struct ToldRecord {
   int router = 0, machine = 0;
   Time at{0};
-  bool by_time = false;  // nothing was written: discovery has had it for kToldAfter
+  bool by_time = false;  // nothing was written; the change has been in discovery for kToldAfter
 };
+// By then a router counts as notified, whether or not discovery's answer reached it.
 constexpr Duration kToldAfter = std::chrono::seconds(6);
 
-// A connection between a router and a node came up, or ended.
+// A connection between a router and a cache server was accepted (`up`) or ended.
 struct LinkRecord {
   int machine = 0, router = 0;
   Time at{0};
   bool up = true;
 };
 
-// A router asked discovery for its list, and was answered, or refused for want of room.
+// Discovery answered a router's call for the list, or refused it (503) because of its call rate limit.
 struct ListRecord {
   int router = 0;
   Time at{0};
@@ -117,49 +122,50 @@
 
 struct WorldTruth {
   std::vector<MachineRecord> machines;  // the origin first
-  std::vector<AttemptRecord> attempts;  // in the order in which they became whole
+  std::vector<AttemptRecord> attempts;  // in the order in which they were received completely
   std::vector<ToldRecord> told;
-  std::vector<LinkRecord> links;  // of the nodes, in order
-  std::vector<ListRecord> lists;  // answers written, in order
-  std::vector<Time> origin_fell;
-  Duration lag{0};         // the most that the world's loop ran late
-  Duration cpu{0};         // of its thread
-  std::uint64_t late = 0;  // times that it ran late by more than 20 ms
+  std::vector<LinkRecord> links;  // connections to cache servers, in order of time
+  std::vector<ListRecord> lists;  // answers of discovery, in order of time
+  std::vector<Time> origin_fell;  // when the origin stopped because it was overloaded
+  Duration lag{0};                // maximum lateness of the world's event loop
+  Duration cpu{0};                // CPU time of the world's thread
+  std::uint64_t late = 0;         // how often its event loop was late by more than 20 ms
 };
 
+// How one try of a client ended.
 enum class TryEnd : std::uint8_t {
-  kOpen,         // nothing came while its client waited
-  kValue,        // served
-  kReceipt,      // served, a write
-  kBusy,         // refused: it never ran
+  kOpen,         // no answer while its client waited
+  kValue,        // served: a value
+  kReceipt,      // served: the receipt of a write
+  kBusy,         // refused with `SERVER_ERROR busy`: it did not run
   kFailed,       // SERVER_ERROR of another kind
   kError,        // CLIENT_ERROR or ERROR
-  kBad,          // what cannot be read, or is no answer to this
+  kBad,          // the answer was malformed or belonged to another request
   kClosed,       // the router closed the connection instead of answering
-  kUnreachable,  // no connection came up; nothing was sent
-  kLeft,         // its client closed the connection before its answer came
+  kUnreachable,  // no connection was established; nothing was sent
+  kLeft,         // its client closed the connection before the answer
 };
 inline constexpr std::string_view kTryNames[] = {"open",  "value",      "receipt", "busy",        "failed",
                                                  "error", "unreadable", "closed",  "unreachable", "left"};
 
 struct TryRecord {
   RequestId id = 0;
-  std::uint32_t intent = 0;  // the place of its first try's Intent
+  std::uint32_t intent = 0;  // index of its Intent in LoadTruth::intents
   std::int16_t router = -1;
   std::uint8_t number = 0;  // 0: the first try
   TryEnd end = TryEnd::kOpen;
-  bool resent = false;  // once more on a new connection, as the kept one closed before it was read
-  bool pooled = false;  // it went out on a connection that had been used before
+  bool resent = false;  // sent again on a new connection, because the reused one closed before an answer
+  bool pooled = false;  // sent on a connection that had been used before
   Time sent{0};         // when its last byte was handed to the kernel; 0: never
   Time ended{0};
-  Duration wait{0};          // stated as its deadline, from `sent`
-  Duration busy_for{0};      // of a refusal that states when to come back
-  std::uint32_t serial = 0;  // of the value or receipt
+  Duration wait{0};          // the deadline that it states, counted from `sent`
+  Duration busy_for{0};      // retry delay that a refusal states; 0: none
+  std::uint32_t serial = 0;  // number in the value or receipt
 };
 
-// What a client wanted, with all its tries.
+// One request as a client wants it served, over all its tries.
 struct Intent {
-  Time at{0};  // when it was meant to be sent: latencies count from here
+  Time at{0};  // when the schedule says to send it: latencies count from here
   std::uint8_t request_class = 0, tenant = 0, hall = 0;
   bool done = false, served = false;
   Time ended{0};
@@ -168,27 +174,28 @@
 struct LoadTruth {
   std::vector<Intent> intents;
   std::vector<TryRecord> tries;
-  Duration late_p999{0}, late_max{0};  // sending behind the schedule
-  Duration cpu{0};
-  std::uint64_t connections = 0, crossed = 0;  // opened; commands that met a closing connection
+  Duration late_p999{0}, late_max{0};  // how far sending was behind the schedule
+  Duration cpu{0};                     // CPU time of the load's thread
+  std::uint64_t connections = 0;       // opened
+  std::uint64_t crossed = 0;           // commands sent on a connection that was just being closed
   std::uint64_t flood_connections = 0;
 };
 
-// A router that was not there, by the laboratory's own doing.
+// A time in which a router's process was down because of an injected fault.
 struct Absence {
   int router = 0;
   Time from{0}, until{0};
   Time launched{0};  // when it was started again
-  Time asked{0};     // when it was asked to stop, some time before it was killed; 0: it was not
+  Time asked{0};     // when SIGTERM was sent, some time before it was killed; 0: no SIGTERM
 };
 
-// A router stood still, by the laboratory's own doing.
+// A time in which a router's process was suspended by an injected fault.
 struct Hold {
   int router = 0;
   Time from{0}, until{0};
 };
 
-// A router was given a new configuration.
+// A router received a new configuration.
 struct ReloadRecord {
   int router = 0;
   Time at{0};
@@ -196,13 +203,13 @@
 
 struct Truth {
   Scenario scenario;
-  Time start{0};  // of the load
+  Time start{0};  // when the load began
   WorldTruth world;
   LoadTruth load;
   std::vector<Absence> absences;
   std::vector<Hold> holds;
   std::vector<ReloadRecord> reloads;
-  std::vector<std::string> router_logs;  // by router: the file's name
+  std::vector<std::string> router_logs;  // file names, by router
 };
 
 }  // namespace brasswood::lab
