--- a/lab/truth/judge.h
+++ b/lab/truth/judge.h
@@ -1,5 +1,5 @@
-// The judge: from the truth of a run, which rules were broken. A pure function of the records, so that it
-// is tested on made-up ones as well as on routers that break each rule.
+// The rule checker: finds in the record of a run which rules were violated. It is a pure function of the
+// record, so that it can be tested on constructed records as well as on routers that break each rule.
 #ifndef BRASSWOOD_LAB_TRUTH_JUDGE_H_
 #define BRASSWOOD_LAB_TRUTH_JUDGE_H_
 
@@ -12,27 +12,27 @@
 namespace brasswood::lab {
 
 enum class Rule {
-  kAnswer,   // one whole, true answer, in time
-  kOnce,     // never two attempts at once, writes by their class, attempts within their number
-  kDrain,    // nothing new to a machine the router was told is going
-  kColdPush  // no cold machine pushed over, the origin not felled by cold misses
+  kAnswer,  // each request gets one complete and correct answer, in time
+  kOnce,    // at most one attempt at a time, max_attempts is kept, writes repeat only as their class allows
+  kDrain,   // no new attempt at a server that the router was notified is going out of service
+  kColdPush  // no cold server is overloaded, and cold misses do not overload the origin
 };
 inline constexpr std::string_view kRuleNames[] = {"answer", "once", "drain", "cold push"};
 
 struct Breach {
   Rule rule = Rule::kAnswer;
-  RequestId request = 0;  // 0: of a machine as a whole
-  int machine = -1;       // -1: none in particular
+  RequestId request = 0;  // 0: concerns a server as a whole
+  int machine = -1;       // -1: no server in particular
   Time at{0};
   std::string what;
 };
 
-// In the order of their times. `lag`, how late the laboratory itself ran at worst, is added to every limit
-// on time: a breach must be the router's.
+// The violations, in order of time. The maximum lateness of the laboratory itself is added to every time
+// limit, so that the laboratory's delays are not reported as the router's.
 std::vector<Breach> Judge(const Truth& truth);
 
-// Everything known of the breach's request (or machine): the client's tries, the machines' attempts, and
-// the lines of the routers' logs that name it or fall within its life.
+// Everything recorded about the request of a violation: the client's tries, the servers' attempts, and the
+// lines of the routers' logs that contain its id or were written while it was open.
 std::string Story(const Truth& truth, const Breach& breach);
 
 }  // namespace brasswood::lab
