--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -9,28 +9,28 @@
 namespace brasswood::lab {
 namespace {
 
-// What the platform's rules on sockets add to every limit on time.
+// Added to every time limit, for the socket handling that the platform's rules allow.
 constexpr Duration kSocketSlack = std::chrono::milliseconds(50);
-// A request that comes later than this after its router was asked to stop has to have its answer before the
-// router may be killed.
+// A request sent later than this after SIGTERM to its router must have its answer before the router is
+// killed: the kill excuses only requests that were sent earlier.
 constexpr Duration kLateWork = std::chrono::milliseconds(700);
-// An attempt that begins later than this after its client left is work for nobody.
+// An attempt must not begin later than this after its client left, as nobody waits for its result.
 constexpr Duration kGone = std::chrono::milliseconds(100);
-// A change counts as told by time alone where no more of the calls to discovery fail, and where it serves
-// all routers in turn within this.
+// A router counts as notified of a change by elapsed time alone only while at most this share of the calls
+// to discovery fail, and while discovery serves one call of every router within kMostQueue.
 constexpr double kMostFailedCalls = 0.5;
 constexpr Duration kMostQueue = std::chrono::seconds(1);
-// Of so many complete answers with no stated length half at least are passed on.
+// From this many complete answers without a stated length on, at least half must be passed on.
 constexpr std::size_t kEnoughNoLength = 10;
 
 struct Request {
-  const TryRecord* sent = nullptr;
-  std::vector<const AttemptRecord*> attempts;  // in the order in which they became whole
+  const TryRecord* sent = nullptr;             // the last try under its id
+  std::vector<const AttemptRecord*> attempts;  // in the order in which they were received completely
 };
 
 bool Served(TryEnd end) { return end == TryEnd::kValue || end == TryEnd::kReceipt; }
 
-// May the attempt have had an effect, for all that its router could tell?
+// Whether the attempt may have had an effect, as far as its router could tell.
 bool MayHaveRun(const AttemptRecord& c) { return c.fate != Fate::kTurnedAway && c.fate != Fate::kMiss; }
 
 class Court {
@@ -59,7 +59,7 @@
     breaches_.push_back({rule, id, machine, at, std::move(what)});
   }
 
-  // Was the try's router taken away while the try was out?
+  // Whether an injected fault took the try's router down while the try was open.
   bool Excused(const TryRecord& t, Time until) const {
     return std::any_of(truth_.absences.begin(), truth_.absences.end(), [&](const Absence& a) {
       const bool late = a.asked != Time(0) && t.sent > a.asked + kLateWork && t.sent < a.from;
@@ -67,7 +67,7 @@
     });
   }
 
-  // For how long the router stood still in that time.
+  // For how long the router's process was suspended within that time.
   Duration Held(int router, Time from, Time until) const {
     Duration all{0};
     for (const Hold& h : truth_.holds) {
@@ -83,7 +83,7 @@
       const Duration after = c->first - t.ended;
       if (after <= kGone + slack_ + Held(t.router, t.ended, c->first)) continue;
       Add(Rule::kAnswer, t.id, c->machine, c->first,
-          "an attempt begun " + InMs(after) + " after its client left");
+          "an attempt began " + InMs(after) + " after its client left");
     }
   }
 
@@ -100,32 +100,34 @@
     }
     if (whole < kEnoughNoLength || 2 * passed >= whole) return;
     Add(Rule::kAnswer, 0, kOrigin, truth_.start,
-        "of " + std::to_string(whole) + " complete answers with no length " + std::to_string(passed) +
-            " were passed on");
+        "of " + std::to_string(whole) + " complete answers without a stated length only " +
+            std::to_string(passed) + " were passed on");
   }
 
   void JudgeAnswer(const TryRecord& t, const Request& r) {
-    // Never taken, or cut off by the end of an interrupted run.
+    // Never sent, cut off by the end of an interrupted run, or given up by its client.
     if (t.sent == Time(0) || t.ended == Time(0) || t.end == TryEnd::kLeft) return;
     const Time due =
         t.sent + t.wait + truth_.scenario.rules.answer_slack + slack_ + Held(t.router, t.sent, t.ended);
     if (Excused(t, t.ended)) return;
     switch (t.end) {
       case TryEnd::kOpen:
-        return Add(Rule::kAnswer, t.id, -1, due, "no answer before its client gave up");
+        return Add(Rule::kAnswer, t.id, -1, due, "no answer until its client gave up");
       case TryEnd::kClosed:
-        // A connection may close between requests; what had not been sent on was not lost, as its client
-        // asks again. On its second connection, or with an attempt out, it was.
+        // A router may close an idle connection, so a request that it had not sent on is not lost: its
+        // client sends it again. It is lost when that was already the second connection, when the
+        // connection was new, or when an attempt had been sent.
         if (t.resent || !t.pooled ||
             std::any_of(r.attempts.begin(), r.attempts.end(),
                         [&](const AttemptRecord* c) { return c->whole <= t.ended; })) {
-          Add(Rule::kAnswer, t.id, -1, t.ended, "the connection was closed instead of an answer");
+          Add(Rule::kAnswer, t.id, -1, t.ended, "the connection was closed without an answer");
         }
         return;
       case TryEnd::kBad:
-        return Add(Rule::kAnswer, t.id, -1, t.ended, "an answer that cannot be read or is another's");
+        return Add(Rule::kAnswer, t.id, -1, t.ended,
+                   "the answer is malformed or belongs to another request");
       case TryEnd::kError:
-        return Add(Rule::kAnswer, t.id, -1, t.ended, "a sound command was answered as an error");
+        return Add(Rule::kAnswer, t.id, -1, t.ended, "a valid command was answered with a client error");
       case TryEnd::kUnreachable:
         return;
       default:
@@ -133,25 +135,25 @@
     }
     if (t.ended > due) {
       Add(Rule::kAnswer, t.id, -1, t.ended,
-          "answered " + InMs(t.ended - t.sent) + " after it was sent; its client waits " + InMs(t.wait));
+          "answered " + InMs(t.ended - t.sent) + " after it was sent; its deadline is " + InMs(t.wait));
     }
     if (Served(t.end)) {
       const bool made = std::any_of(r.attempts.begin(), r.attempts.end(), [&](const AttemptRecord* c) {
         return c->serial == t.serial && (c->fate == Fate::kHit || c->fate == Fate::kServed);
       });
-      if (!made) Add(Rule::kAnswer, t.id, -1, t.ended, "served with what no machine made for it");
+      if (!made) Add(Rule::kAnswer, t.id, -1, t.ended, "the value or receipt was made by no server for it");
     }
   }
 
   void JudgeOnce(RequestId id, const Request& r) {
     if (r.sent == nullptr) {
       for (const AttemptRecord* c : r.attempts) {
-        Add(Rule::kOnce, id, c->machine, c->whole, "an attempt that no client asked for");
+        Add(Rule::kOnce, id, c->machine, c->whole, "an attempt without a client's request");
       }
       return;
     }
     const ClassPlan& plan = truth_.scenario.classes[truth_.load.intents[r.sent->intent].request_class];
-    // What its client sent once more is a request of its own to the router that takes it.
+    // A request that its client sent again is a new request to the router that receives it.
     const auto again = std::count_if(r.attempts.begin(), r.attempts.end(), [&r](const AttemptRecord* c) {
       return r.sent->resent && c->whole >= r.sent->sent;
     });
@@ -163,7 +165,7 @@
     Time first_run{0};
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
       const AttemptRecord& c = *r.attempts[i];
-      // What its client sent once more, on a connection that closed, is a repeat of the client's making.
+      // When its connection closes and the client sends the request again, the repeat is the client's.
       const bool by_client = r.sent->resent && c.whole >= r.sent->sent;
       if (by_client && i > 0 && r.attempts[i - 1]->whole < r.sent->sent) first_run = Time(0);
       for (std::size_t j = 0; j < i; ++j) {
@@ -171,25 +173,25 @@
         if (by_client && earlier.whole < r.sent->sent) continue;
         if (earlier.end == Time(0) || earlier.end > c.whole) {
           Add(Rule::kOnce, id, c.machine, c.whole,
-              "a second attempt while the one at machine " + Name(earlier.machine) + " was out");
+              "a second attempt while the one at " + Name(earlier.machine) + " was open");
         }
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a write that may have run went out again");
+          Add(Rule::kOnce, id, c.machine, c.whole, "a write that may have run was sent again");
         } else if (c.whole > first_run + plan.window + slack_ + Held(c.router, first_run, c.whole)) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a keyed write went out again after its window");
+          Add(Rule::kOnce, id, c.machine, c.whole, "a keyed write was sent again after its window");
         }
       }
       if (first_run == Time(0) && MayHaveRun(c)) first_run = c.whole;
     }
     if (plan.repeats == Repeats::kNever && first_run != Time(0) && r.sent->end == TryEnd::kBusy) {
-      Add(Rule::kOnce, id, -1, r.sent->ended, "refused as never run, though it may have run");
+      Add(Rule::kOnce, id, -1, r.sent->ended, "refused as not run, although it may have run");
     }
   }
 
-  // Was this router there in all of that time, under one configuration, and discovery in no such trouble
-  // that most calls fail?
+  // Whether the router can be expected to have received a list in that time: it was up throughout, with one
+  // configuration, and no fault of discovery made most calls fail.
   bool CouldBeReached(int router, Time from, Time until) const {
     const auto within = [&](Time at) { return at > from && at < until; };
     for (const Absence& a : truth_.absences) {
@@ -242,7 +244,8 @@
       const Duration after = c.first - it->second;
       if (after > truth_.scenario.rules.drain_grace + slack_ + Held(c.router, it->second, c.first)) {
         Add(Rule::kDrain, c.request, c.machine, c.first,
-            "sent to " + Name(c.machine) + " " + InMs(after) + " after its router was told that it goes");
+            "sent to " + Name(c.machine) + " " + InMs(after) +
+                " after its router was notified that it leaves service");
       }
     }
   }
@@ -254,7 +257,7 @@
     std::vector<PushMeter> meters(truth_.world.machines.size(),
                                   PushMeter(rules.fall_multiple, rules.fall, 4 * most));
     std::vector<bool> pushed(meters.size());
-    std::vector<Time> lives(meters.size());  // the start that each meter counts from
+    std::vector<Time> lives(meters.size());  // the start of the process that each meter counts for
     for (const AttemptRecord& c : truth_.world.attempts) {
       const auto n = static_cast<std::size_t>(c.machine);
       const MachineRecord& m = truth_.world.machines[n];
@@ -270,7 +273,7 @@
       pushed[n] = true;
       Add(Rule::kColdPush, c.request, c.machine, c.whole,
           Name(c.machine) + ", " + InMs(c.whole - then.started) + " after its start, was sent more than " +
-              std::to_string(rules.fall_multiple).substr(0, 4) + " times what it can do");
+              std::to_string(rules.fall_multiple).substr(0, 4) + " times its capacity");
     }
     for (const Time fell : truth_.world.origin_fell) {
       double all = 0, cold = 0;
@@ -282,7 +285,7 @@
       }
       if (cold > 0.3 * all) {
         Add(Rule::kColdPush, 0, kOrigin, fell,
-            "the origin fell under load, much of it misses at cold nodes");
+            "the origin was overloaded, with a large share of the load from misses at cold cache servers");
       }
     }
   }
@@ -304,7 +307,7 @@
 std::string Story(const Truth& truth, const Breach& breach) {
   std::ostringstream out;
   const auto at = [&](Time t) { return InMs(t - truth.start); };
-  out << "rule '" << kRuleNames[static_cast<std::size_t>(breach.rule)] << "' broken at " << at(breach.at)
+  out << "rule '" << kRuleNames[static_cast<std::size_t>(breach.rule)] << "' violated at " << at(breach.at)
       << ": " << breach.what << "\n";
   if (breach.request == 0) return out.str();
   const std::string id = IdText(breach.request);
@@ -313,9 +316,9 @@
   for (const TryRecord& t : truth.load.tries) {
     if (t.id != breach.request) continue;
     const Intent& intent = truth.load.intents[t.intent];
-    out << "  client: " << truth.scenario.classes[intent.request_class].name << ", meant for "
+    out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
         << at(intent.at) << ", try " << int{t.number} + 1 << ", sent " << at(t.sent) << " to router "
-        << t.router << " for at most " << InMs(t.wait) << (t.resent ? " (once more)" : "") << "; "
+        << t.router << " with a deadline of " << InMs(t.wait) << (t.resent ? " (sent again)" : "") << "; "
         << kTryNames[static_cast<std::size_t>(t.end)] << " at " << at(t.ended) << "\n";
     from = std::min(from, t.sent);
     until = std::max(until, t.ended);
@@ -323,10 +326,10 @@
   for (const AttemptRecord& c : truth.world.attempts) {
     if (c.request != breach.request) continue;
     out << "  " << truth.world.machines[static_cast<std::size_t>(c.machine)].uid << ": from router "
-        << c.router << ", first byte " << at(c.first) << ", whole " << at(c.whole) << "; "
+        << c.router << ", first byte " << at(c.first) << ", complete " << at(c.whole) << "; "
         << kFateNames[static_cast<std::size_t>(c.fate)];
     if (c.end != Time(0)) out << " at " << at(c.end);
-    out << (c.applied ? "; took effect" : "") << "\n";
+    out << (c.applied ? "; applied" : "") << "\n";
   }
   for (std::size_t r = 0; r < truth.router_logs.size(); ++r) {
     std::ifstream log(truth.router_logs[r]);
