--- a/lab/truth/push_meter.h
+++ b/lab/truth/push_meter.h
@@ -1,5 +1,6 @@
-// How much work a cold machine is sent against what it can do at that moment. The world uses it to let the
-// machine fall, the judge to say whether it was pushed over: one count for both.
+// Compares the work that a server is sent with its capacity at that moment. The emulated servers use it to
+// decide when they are overloaded and stop serving, the rule checker to decide whether a router overloaded
+// a cold server: both count in the same way.
 #ifndef BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
 #define BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
 
@@ -11,9 +12,9 @@
 
 namespace brasswood::lab {
 
-// Grows evenly from `cold_from` of `full` at `started` to all of it after `ramp`.
+// The capacity of a server: grows linearly from `cold_from` of `full` at `started` to `full` after `ramp`.
 struct Capacity {
-  double full = 1;  // cores x speed: seconds of standard work a second
+  double full = 1;  // cores x speed: seconds of work of a core of speed 1, each second
   double cold_from = 1;
   Time started{0};  // 0: long ago
   Duration ramp{0};
@@ -25,14 +26,14 @@
   bool Cold(Time now) const { return started != Time(0) && now < started + ramp; }
 };
 
-// A budget over any window of `fall`: `multiple` times the present capacity times the window, and a little
-// slack for chance.
+// A work budget for a sliding window of length `fall`: `multiple` times the present capacity times the
+// window, plus a little slack for random variation.
 class PushMeter {
  public:
   PushMeter(double multiple, Duration fall, double slack_s)
       : multiple_(multiple), fall_(fall), slack_(slack_s) {}
-  // Work in standard seconds, in the order of arrival. Returns how full the budget is; above 1 the machine
-  // falls.
+  // Adds work, in seconds of a core of speed 1; to be called in order of arrival. Returns the used share of
+  // the budget; above 1 the server is overloaded.
   double Add(Time at, double work_s, double capacity) {
     sent_.emplace_back(at, work_s);
     sum_ += work_s;
