--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -1,4 +1,5 @@
-// An cache server: keeps values by key, answers reads from them and everything else with a miss.
+// An emulated cache server: stores values by key, answers reads of stored keys with a value and every other
+// request with a miss.
 #ifndef BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 #define BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 
@@ -13,11 +14,11 @@
   CacheServer(World& world, int number, const NodePlan& plan);
   KeyStore& store() { return store_; }
   const NodePlan& plan() const { return plan_; }
-  // Its process starts anew at the same addresses, cold and empty.
+  // Starts its process again at the same addresses, cold and with an empty store.
   void Restart();
   bool alive() const { return alive_; }
   void Die();
-  // From now on it turns everything away.
+  // From now on it rejects every request as busy.
   void Retire() { leaving_ = true; }
 
  private:
