--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -6,7 +6,7 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr double kMissShare = 0.05;  // of a read's work: to find that the key is not here
+constexpr double kMissShare = 0.05;  // cost of a miss, as a share of the read's work
 constexpr double kMegabyte = 1 << 20;
 const Limits kLimits;
 
@@ -44,7 +44,7 @@
 
 void CacheServer::OnBytes(Peer& peer) {
   const std::uint64_t id = peer.id;
-  // Taking a command may end the connection, or this very peer's.
+  // Handling a command may close connections, including this one, hence the check.
   while (FindPeer(id) != nullptr) {
     std::size_t used = 0;
     Command command;
