--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -1,4 +1,4 @@
-// Discovery: the list of machines, whole or as a watch on changes, over HTTP.
+// The emulated discovery service: serves the server list over HTTP, complete or as a long poll for changes.
 #ifndef BRASSWOOD_LAB_WORLD_DISCOVERY_H_
 #define BRASSWOOD_LAB_WORLD_DISCOVERY_H_
 
@@ -15,28 +15,34 @@
 
 enum class Listed { kInService, kTerminating, kTerminated };
 
-// What ails discovery, beside its links: shares of its calls or answers.
+// Injected faults of discovery, apart from those of its links.
 struct DiscoveryTrouble {
-  Duration each{0};      // it takes for a call
-  bool in_turn = false;  // one after the other, forsaken ones too
-  double half = 0, reset = 0, deaf = 0, busy = 0, old = 0;
-  Duration late{0};    // from taking what is answered at once to writing it
-  Duration pieces{0};  // over which an answer is written
-  Duration lag{0};     // from a change to this address's hearing of it
+  Duration each{0};      // time to serve a call
+  bool in_turn = false;  // serves calls one after the other, also those whose caller has gone
+  double half = 0;       // share of the answers that stop half-way, the connection left open
+  double reset = 0;      // share of the answers that stop half-way with a reset
+  double deaf = 0;       // share of the calls that are accepted and never answered
+  double busy = 0;       // share of the calls that are answered with 503
+  double old = 0;        // share of the answers that carry a list older than the one the caller has
+  Duration late{0};      // delay between composing an answer and writing it
+  Duration pieces{0};    // time over which an answer is written in equal pieces
+  Duration lag{0};       // delay until a change of the list is visible at this address
 };
 
 class Discovery : public Server {
  public:
   Discovery(World& world, int routers);
-  // Lists the machine so, from now on, or once this address hears of it; the world sees to other lateness.
+  // Lists the server in that state, from now on or, with `lag`, once the change is visible at this address.
+  // Every other delay is the world's.
   void List(int machine, Listed state);
-  // The list in discovery's form takes a router's own endpoints between texts that are the same for all:
-  // made once a change, not once a router. Compose is free of the rest, and may run on any thread.
+  // One entry of the list in discovery's form. Each router sees endpoints of its own; the text around the
+  // endpoint is the same for all and is formatted once a change, not once a router. Compose uses nothing
+  // but its arguments and may run on any thread.
   struct Line {
     std::int64_t rev = 0;
     bool terminated = false;
     std::uint16_t port = 0;
-    std::string before, after;  // the endpoint
+    std::string before, after;  // the text before and after the endpoint
   };
   const std::vector<Line>& Lines() const { return lines_; }
   std::int64_t rev() const { return rev_; }
@@ -60,11 +66,11 @@
   bool Room();
   void TakeCall(std::uint64_t id, const HttpRequest& request);
   void Serve(std::uint64_t id, const HttpRequest& request);
-  // Told in the part of the answer that was written, by the judge's terms.
+  // Records which servers the written part of an answer notifies the router of as leaving service.
   void NoteTold(const Peer& peer, std::int64_t since, bool whole, std::string_view written);
   void Hear(int machine, Listed state);
   void Tell(Peer& peer, std::int64_t since, bool whole);
-  // An answer as it was made, and how far it has been written.
+  // An answer that is written in pieces, and how much of it has been written.
   struct Outgoing {
     std::uint64_t peer = 0;
     std::int64_t since = 0;
@@ -83,11 +89,11 @@
   std::vector<Line> lines_;  // by entry
   std::vector<Watch> watches_;
   std::int64_t rev_ = 1;
-  double room_ = 0;  // calls that may come now
-  Time filled_{0};
+  double room_ = 0;  // token bucket of the call rate limit: calls that are admitted now
+  Time filled_{0};   // when the bucket was last filled
   DiscoveryTrouble trouble_;
-  Time hears_at_{0};  // of the last change
-  Time free_{0};      // in turn: when the calls before are served
+  Time hears_at_{0};  // when the latest change is visible at this address
+  Time free_{0};      // with in_turn: when all earlier calls are served
   Rng rng_;
 };
 
