--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -7,7 +7,7 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr std::size_t kPieces = 20;  // of an answer that is written in pieces
+constexpr std::size_t kPieces = 20;  // pieces of an answer that is written slowly
 constexpr std::string_view kStates[] = {"in_service", "terminating", "terminated"};
 
 }  // namespace
@@ -59,7 +59,7 @@
                    std::string(kStates[static_cast<std::size_t>(state)]) + R"(","capacity_hint":)" +
                    std::to_string(world_.scenario().discovery.states_size ? m.capacity.full : 1.0) +
                    R"(,"boot_ms":)" + std::to_string(boot) + "}"};
-  // Those who wait hear of it in one go; the text of a change is the same for all but the endpoints.
+  // All waiting callers are answered now; the text of a change differs only in the endpoints.
   std::vector<Watch> watches;
   watches.swap(watches_);
   for (Watch& w : watches) {
@@ -68,7 +68,7 @@
   }
 }
 
-// A bounded number of calls a second, of which a tenth may come at once.
+// Whether the call rate limit admits a call: so many a second, with bursts of up to a tenth of that.
 bool Discovery::Room() {
   const double rate = world_.scenario().discovery.calls;
   if (rate <= 0) return true;
