--- a/lab/world/key_store.h
+++ b/lab/world/key_store.h
@@ -1,4 +1,4 @@
-// What a cache server keeps: keys with their sizes, those used or stored longest ago dropped first.
+// The store of a cache server: keys with their sizes, evicted in least-recently-used order.
 #ifndef BRASSWOOD_LAB_WORLD_KEY_STORE_H_
 #define BRASSWOOD_LAB_WORLD_KEY_STORE_H_
 
@@ -12,7 +12,7 @@
 class KeyStore {
  public:
   explicit KeyStore(double bytes) : most_(bytes) {}
-  // Is the key here? Then it counts as used now.
+  // Whether the key is stored; marks it as most recently used.
   bool Use(const std::string& key) {
     const auto it = places_.find(key);
     if (it == places_.end()) return false;
@@ -47,7 +47,7 @@
     double bytes = 0;
   };
   double most_, held_ = 0;
-  std::list<Entry> order_;  // the most recent first
+  std::list<Entry> order_;  // most recently used first
   std::unordered_map<std::string, std::list<Entry>::iterator> places_;
 };
 
