--- a/lab/world/machine.h
+++ b/lab/world/machine.h
@@ -1,5 +1,5 @@
-// What cache servers and the origin have in common: attempts begun, worked on by cores, answered in order,
-// called off when their connection goes; and the record of each in the truth.
+// What cache servers and the origin have in common: they receive attempts, process them on a limited number
+// of cores, answer in order, cancel an attempt when its connection closes, and record each attempt.
 #ifndef BRASSWOOD_LAB_WORLD_MACHINE_H_
 #define BRASSWOOD_LAB_WORLD_MACHINE_H_
 
@@ -16,12 +16,14 @@
 
 class World;
 
-// What ails a machine's answers.
+// Injected faults of a server.
 struct Ailment {
-  bool hang = false;
-  double speed = 1;                         // of its own
-  double reset = 0, half = 0, garbage = 0;  // shares of its answers
-  double no_length = 0;                     // likewise, of the origin's
+  bool hang = false;     // accepts requests and answers none
+  double speed = 1;      // relative to its normal speed
+  double reset = 0;      // share of its answers that are replaced by a reset of the connection
+  double half = 0;       // share that stop half-way
+  double garbage = 0;    // share that are replaced by garbage
+  double no_length = 0;  // origin only: share that state no length
 };
 
 class Machine : public Server {
@@ -30,13 +32,13 @@
 
   Ailment& ailment() { return ailment_; }
   int number() const { return number_; }
-  // So many of its cores are its own from now on; at least one.
+  // Changes how many cores it has from now on; at least one.
   void SetCores(int cores);
-  // Looks whether the router has closed the connection of this attempt, and books that as its end.
+  // If the router has closed this connection, closes it here too and records the end of its attempts.
   void NoticeClose(std::uint64_t peer);
 
  protected:
-  struct Attempt {  // one that is being worked on, or waits
+  struct Attempt {  // being processed or queued
     std::uint64_t peer = 0;
     std::size_t record = 0;
     double work_s = 0;
@@ -44,15 +46,16 @@
     Deadlines::Id deadline;
   };
   MachineRecord& record();
-  // Enters an attempt that has come whole into the truth.
+  // Records an attempt that has been received completely.
   std::size_t Enter(Peer& peer, RequestId id, double work_s, bool write);
-  // Takes it to a core, now or later; false where the waiting room is full.
+  // Processes the attempt on a core, now or once one is free; false if the queue is full.
   bool Work(Peer& peer, std::size_t record, double work_s, std::string key);
   void Conclude(Peer& peer, std::size_t record, Fate fate, std::string text);
-  // The attempt has been worked on: word its answer.
+  // The work of the attempt is done: writes its answer.
   virtual void Worked(Peer& peer, const Attempt& attempt) = 0;
   void OnGone(Peer& peer, bool reset) override;
-  // A share of the value that a machine makes for an attempt: no other one's is equal to it.
+  // The value that a server makes for an attempt. It contains the request's id and a serial number, so no
+  // two attempts have the same value.
   std::string MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const;
 
   World& world_;
