--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -62,7 +62,7 @@
   const Time now = loop().Now();
   const double speed = core_speed_ * ailment_.speed * capacity.At(now) / capacity.full;
   const auto takes = Duration(static_cast<std::int64_t>(attempt.work_s / std::max(speed, 1e-6) * 1e9));
-  // Shorter than a timer can tell.
+  // Below the resolution of a timer.
   if (takes < std::chrono::microseconds(20)) return Done(token);
   attempt.deadline = loop().deadlines().Set(now + takes, [this, token] { Done(token); });
 }
@@ -105,7 +105,7 @@
     if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kCut;
     const auto it = by_record_.find(e.attempt);
     if (it == by_record_.end()) continue;
-    // Work stops when nobody waits for it any more.
+    // The work is cancelled, as nobody waits for its result any more.
     const Station::Token token = it->second;
     loop().deadlines().Drop(attempts_.Find(token)->deadline);
     attempts_.Remove(token);
