--- a/lab/world/origin.h
+++ b/lab/world/origin.h
@@ -1,5 +1,6 @@
-// The origin: slow, shared, over HTTP. It takes writes, drops the kept copies of what they change, stores
-// what it served at the nodes that had missed, and stops for a while when it is sent far too much.
+// The emulated origin, reached over HTTP. It applies writes and drops the cache servers' copies of the keys
+// they change, stores each value it serves at the cache servers that missed it, and stops for a while when
+// it is overloaded.
 #ifndef BRASSWOOD_LAB_WORLD_ORIGIN_H_
 #define BRASSWOOD_LAB_WORLD_ORIGIN_H_
 
@@ -10,7 +11,7 @@
 class Origin : public Machine {
  public:
   Origin(World& world, const OriginPlan& plan);
-  // Stops as a process that is gone, and comes back after `length`.
+  // Behaves like a process that has ended, and starts again after `length`.
   void Stop(Duration length);
 
  private:
@@ -26,8 +27,8 @@
     std::string write_key;
     std::size_t request_class = 0;
   };
-  std::unordered_map<std::size_t, Pending> pending_;     // by record
-  std::unordered_map<std::string, Time> applied_keyed_;  // write keys, and when they took effect
+  std::unordered_map<std::size_t, Pending> pending_;     // by index of the attempt's record
+  std::unordered_map<std::string, Time> applied_keyed_;  // when each write key was applied
 };
 
 }  // namespace brasswood::lab
