--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -42,7 +42,7 @@
       if (name == "k") pending.write_key = value;
     });
     const Time now = loop().Now();
-    // Its capacity counts as one second of work a second on each core.
+    // Its capacity is one second of work each second on each core.
     const bool falls = meter_.Add(now, work, plan_.cores) > 1;
     const std::string key = request.path.substr(1);
     pending_.emplace(n, std::move(pending));
@@ -58,8 +58,8 @@
   }
 }
 
-// An answer, now and then one that states no length: half of these end with an orderly close and are whole,
-// the others are cut by a reset.
+// Writes an answer. While the fault is on, a share of the answers state no length: half of these are
+// complete and end with an orderly close, the others are truncated by a reset.
 void Origin::Reply(Peer& peer, std::size_t record, const std::string& body) {
   if (!Chance(rng_, ailment().no_length)) {
     return Conclude(peer, record, Fate::kServed, HttpReply(200, "", body));
