--- a/lab/world/server.h
+++ b/lab/world/server.h
@@ -1,11 +1,12 @@
-// A party of the emulated platform on loopback sockets: a cache server, the origin or discovery. Each
-// router reaches it at an address of its own, so that it knows who speaks and can be cut off from one of
-// them alone. Subclasses read and write; the state of each link (up, refused, silent) is kept here.
+// Base of the emulated servers on loopback sockets: cache servers, the origin and discovery. Each router
+// connects to an address of its own, so that the server knows which router a connection belongs to and can
+// be cut off from one router alone. Subclasses read requests and write answers; the state of the link to
+// each router (up, refused, silent, ...) is kept here.
 //
 // One listener serves all routers: it is bound to every address of the loopback device and to nothing else,
-// and the address that a connection came to names its router. (A listener for each pair of a server and a
-// router grows with their product: 100,000 sockets at 512 routers and 200 nodes.) A link that differs from
-// the others' gets a listener of its own for as long as it does; the kernel prefers it as the closer match.
+// and a connection's destination address tells its router. (One listener for each pair of a server and a
+// router would need 100,000 sockets at 512 routers and 200 cache servers.) A link whose state differs from
+// the others' has a listener of its own for that time; the kernel prefers it as the more specific match.
 #ifndef BRASSWOOD_LAB_WORLD_SERVER_H_
 #define BRASSWOOD_LAB_WORLD_SERVER_H_
 
@@ -26,21 +27,21 @@
 
 enum class Link {
   kUp,
-  kRefused,  // as of a process that is gone: connections reset, new ones refused
-  kSilent,   // as of a cut network: nothing is read or written, new connections never come up
-  kDeaf      // cut one way: what comes is read, what is written and what answers a connection is lost
+  kRefused,  // like an ended process: connections are reset, new ones refused
+  kSilent,   // like a cut network: nothing is read or written, no new connection is established
+  kDeaf      // cut one way: requests are read, answers are lost, no new connection is established
 };
 
-// What ails a link that is up.
+// Injected faults of a link that is up.
 struct LinkTrouble {
   Duration delay{0}, jitter{0};  // added to each answer: at least `delay`, at most `jitter` more
-  double lossy = 0;              // share of the answers with which the connection is reset or falls silent
+  double lossy = 0;  // share of the answers that are lost: the connection is reset or becomes silent
 };
 
 class Server {
  public:
-  // A router's address is AddressFor(router), the same at every server; the port, the system's pick, tells
-  // the servers apart. Throws std::runtime_error where it cannot listen.
+  // A router's address is AddressFor(router), the same at every server; the port, chosen by the system, is
+  // different for each server. Throws std::runtime_error if it cannot listen.
   Server(Loop& loop, int routers, std::uint64_t seed);
   virtual ~Server();
   Server(const Server&) = delete;
@@ -58,8 +59,8 @@
   std::size_t peers() const { return peers_.size(); }
 
  protected:
-  struct Exchange {           // an attempt whose answer is owed, in the order of the connection
-    std::size_t attempt = 0;  // its place among the truth's attempts
+  struct Exchange {           // an attempt whose answer has not been written yet
+    std::size_t attempt = 0;  // index in WorldTruth::attempts
     bool answered = false;
     std::string text;
   };
@@ -67,43 +68,44 @@
     std::uint64_t id = 0;
     int router = 0;
     BufferPtr buffer;
-    Time first{0};         // when the first byte of the message being read came; 0: none has
-    bool fresh = true;     // has sent no command yet
-    bool surplus = false;  // beyond the connections that this server takes
-    std::deque<Exchange> owed;
-    std::string held;      // written while the link was silent
-    bool stalled = false;  // a lossy link has lost it: nothing passes any more
-    Time free{0};          // of a slow link: when what was written last arrives
+    Time first{0};              // when the first byte of the message being read arrived; 0: no byte yet
+    bool fresh = true;          // has sent no command yet
+    bool surplus = false;       // beyond the number of connections that this server accepts
+    std::deque<Exchange> owed;  // in the order of the requests on the connection
+    std::string held;           // written while the link was cut; sent when it is up again
+    bool stalled = false;       // lost by a lossy link: nothing passes any more
+    Time free{0};               // on a slow link: when the latest answer arrives
     Server* server = nullptr;
   };
 
   virtual void OnPeer(Peer&) {}
   virtual void OnBytes(Peer& peer) = 0;
-  // Whether what this peer sends is read: a cut one's is not, nor that of one that has gone.
+  // Whether data from this peer is read: not while its link is silent or refused, nor once a lossy link has
+  // lost its connection.
   bool Heard(const Peer& peer) const;
-  // The peer is gone, for `reset` by this side's doing. Its exchanges are still there.
+  // The connection has ended; `reset`: this side reset it. The peer's pending answers are still there.
   virtual void OnGone(Peer&, bool /*reset*/) {}
 
-  // The next HTTP request that the peer has sent whole, if there is one. Breaks with a peer that sends
-  // something else.
+  // Takes the next complete HTTP request that the peer has sent, if there is one. Closes the connection if
+  // it sends anything else.
   bool TakeRequest(std::uint64_t peer, HttpRequest& request);
 
   Peer* FindPeer(std::uint64_t id);
   void Write(Peer& peer, std::string_view text);
-  // Puts the answer of that exchange down and writes what is due in order.
+  // Stores the answer of that attempt, and writes every answer whose turn it is.
   void Answer(Peer& peer, std::size_t attempt, std::string text);
   void Break(Peer& peer, bool reset);
-  // Has the router closed its side, read or not?
+  // Whether the router has closed its side, even if unread bytes are waiting.
   static bool ClosedByRouter(const Peer& peer);
   Loop& loop() { return loop_; }
 
  private:
   struct Listener {
     Server* server = nullptr;
-    int router = -1;  // of one router alone; -1: of all that have none of their own
+    int router = -1;  // the only router it serves; -1: all that have no listener of their own
     int fd = -1;
     EventPtr event;
-    std::vector<int> fillers;  // own connections that fill the kernel's queue while silent
+    std::vector<int> fillers;  // connections to itself that fill the accept queue while the link is cut
   };
   int Bound(int router) const;
   void Open(Listener& at);
@@ -119,10 +121,10 @@
   Loop& loop_;
   int routers_;
   std::uint16_t port_ = 0;
-  int reserve_ = -1;  // bound and never listening: the port stays this server's while it refuses
+  int reserve_ = -1;  // bound and never listening: reserves the port while the listener is closed
   Listener all_;
   Link all_link_ = Link::kUp;
-  struct Door {  // of a router whose link differs from the others'
+  struct Door {  // the link of a router that differs from the others'
     Link link = Link::kUp;
     std::unique_ptr<Listener> listener;
   };
