--- a/lab/world/server.cpp
+++ b/lab/world/server.cpp
@@ -23,7 +23,7 @@
   ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
 }
 
-constexpr int kRoutersPerNet = 250;  // of addresses 127.(20 + router / 250).1.(1 + router % 250)
+constexpr int kRoutersPerNet = 250;  // addresses are 127.(20 + router / 250).1.(1 + router % 250)
 
 std::uint32_t AddressFor(int router) {
   const auto r = static_cast<std::uint32_t>(router);
@@ -102,10 +102,10 @@
   at.fd = -1;
 }
 
-// Nothing on loopback loses packets, but a full queue of the kernel drops what asks to connect, which is
-// what a cut network looks like from outside: the queue is made as short as can be and filled.
+// Makes new connections fail as on a cut network. Loopback loses no packets, but the kernel drops SYN
+// packets while the accept queue is full: the queue is made as short as possible and filled.
 void Server::Silence(Listener& at) {
-  Accept(at);  // those that came up before the cut did so
+  Accept(at);  // connections that were established before the cut stay
   event_del(at.event.get());
   ::listen(at.fd, 0);
   const sockaddr_in to = *ParseAddress(endpoint(at.router < 0 ? 0 : at.router));
@@ -128,7 +128,7 @@
 
 void Server::SetTrouble(int router, const LinkTrouble& trouble) { troubles_[router] = trouble; }
 
-// For all routers alike; what was different for one of them ends.
+// Sets the links of all routers, also of those whose state differed until now.
 void Server::SetLinks(Link link) {
   while (!doors_.empty()) SetLink(doors_.begin()->first, all_link_);
   if (all_link_ == link) return;
@@ -152,7 +152,7 @@
       door.listener->server = this;
       door.listener->router = router;
       if (link != Link::kRefused) Open(*door.listener);
-      // A silent or deaf link brings no new connection up.
+      // No new connection is established over a link that is cut, one way or both.
       if (link == Link::kSilent || link == Link::kDeaf) Silence(*door.listener);
     } else {
       Set(*door.listener, before, link);
@@ -161,7 +161,7 @@
   SetPeers(router, before, link);
 }
 
-// A cut link brings no connection up, one way or both.
+// Applies the new state to a listener. A link that is cut, one way or both, establishes no connection.
 void Server::Set(Listener& at, Link before, Link link) {
   const bool open = link == Link::kUp;
   const bool was_cut = before == Link::kSilent || before == Link::kDeaf;
@@ -176,7 +176,7 @@
   if (!open && !was_cut) Silence(at);
 }
 
-// The connections of that router, or of all where it is below 0.
+// Applies the new state to the connections of that router, or of all routers if it is below 0.
 void Server::SetPeers(int router, Link before, Link link) {
   std::vector<std::uint64_t> here;
   peers_.Each([&](std::uint64_t id, auto& p) {
@@ -191,7 +191,7 @@
       continue;
     }
     if (before == Link::kSilent && ClosedByRouter(peer)) {
-      // What came while the network was cut and was then given up never arrived.
+      // The router gave up during the cut: what it sent in that time counts as never received.
       Break(peer, false);
       continue;
     }
@@ -239,21 +239,21 @@
 }
 
 void Server::ReadFrom(Peer& peer) {
-  // Guards against work begun for a command that its router has given up: a connection that waited in the
-  // queue, or behind a cut, may hold both the command and its end.
+  // Guards against starting work for a command that its router has given up: a connection that waited in
+  // the accept queue, or behind a cut, may hold both the command and its close.
   if (ClosedByRouter(peer)) return Break(peer, false);
   if (peer.first == Time(0)) peer.first = LastByteCame(peer);
   const std::uint64_t id = peer.id;
   OnBytes(peer);
   auto* held = peers_.Find(id);
   if (held == nullptr) return;
-  // What is left over began to come just now.
+  // Bytes that are left over belong to a message whose first byte arrived just now.
   const bool more = evbuffer_get_length(bufferevent_get_input((*held)->buffer.get())) != 0;
   if (!more) (*held)->first = Time(0);
 }
 
-// Guards against an accusation that is the emulator's: what was sent before its link was cut, or before it
-// was accepted, is read long after its router has sent it.
+// Guards against blaming the router for a delay of the emulator: bytes that were sent before the link was
+// cut, or before the connection was accepted, are read long after the router sent them.
 Time Server::LastByteCame(const Peer& peer) const {
   tcp_info info{};
   socklen_t size = sizeof info;
@@ -295,7 +295,7 @@
     return Lose(peer);
   }
   const Duration more(static_cast<std::int64_t>(static_cast<double>(trouble.jitter.count()) * Unit(rng_)));
-  // In order: what is written later arrives no sooner.
+  // Keeps the order: an answer never arrives before the one written earlier.
   peer.free = std::max(peer.free, loop_.Now() + trouble.delay + more);
   loop_.deadlines().Set(peer.free, [this, id = peer.id, late = std::string(text)] {
     Peer* at = FindPeer(id);
@@ -308,7 +308,7 @@
   });
 }
 
-// A lossy link takes one connection: half of them are reset, the others say nothing more.
+// A lossy link drops this connection: half of them are reset, the others become silent.
 void Server::Lose(Peer& peer) {
   peer.stalled = true;
   bufferevent_disable(peer.buffer.get(), EV_READ);
