--- a/lab/world/station.h
+++ b/lab/world/station.h
@@ -1,5 +1,5 @@
-// The cores of a machine and the room in which requests wait for one, first come first served. Free of time
-// and I/O: its host says when a request begins and ends.
+// The cores of a server and the bounded first-in-first-out queue of requests that wait for one. It has no
+// notion of time and does no I/O: its owner says when a request begins and ends.
 #ifndef BRASSWOOD_LAB_WORLD_STATION_H_
 #define BRASSWOOD_LAB_WORLD_STATION_H_
 
@@ -28,7 +28,7 @@
     waiting_.push_back(token);
     return Took::kWaits;
   }
-  // The request is done or called off. Returns the one that begins in its place, if any.
+  // The request is finished or cancelled. Returns the queued request that starts in its place, if any.
   std::optional<Token> End(Token token) {
     if (running_.erase(token) == 0) {
       const auto it = std::find(waiting_.begin(), waiting_.end(), token);
@@ -37,10 +37,9 @@
     }
     return Next();
   }
-  // A neighbour takes cores, or gives them back: what runs goes on, and what waits begins as cores come
-  // free.
+  // Changes the number of cores. Running requests go on; queued ones start as cores become free.
   void SetCores(int cores) { cores_ = static_cast<std::size_t>(cores); }
-  // A request that may begin now, if one waits and there is a core for it.
+  // Starts the next queued request, if there is one and a core is free for it, and returns it.
   std::optional<Token> Next() {
     if (waiting_.empty() || running_.size() >= cores_) return std::nullopt;
     const Token next = waiting_.front();
