--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -1,6 +1,6 @@
-// The emulated platform of one run: nodes, origin and discovery on a loop of their own, the faults that
-// befall them, and the truth of what reached them. All of it is used from the thread that runs the loop,
-// except where said otherwise.
+// The emulated platform of one run: the cache servers, the origin and discovery on one event loop, the
+// faults that are injected into them, and the record of what reached them. All of it is used from the
+// thread that runs the loop, except where stated otherwise.
 #ifndef BRASSWOOD_LAB_WORLD_WORLD_H_
 #define BRASSWOOD_LAB_WORLD_WORLD_H_
 
@@ -21,32 +21,32 @@
 
 class World {
  public:
-  // Listens for everyone at once; throws std::runtime_error where that fails.
+  // Opens the listeners of all servers; throws std::runtime_error if that fails.
   explicit World(const Scenario& scenario);
   ~World();
 
-  // Before Run: what a router is told at its start.
+  // To be called before Run: what a router needs at its start.
   int routers() const { return routers_; }
-  // `which`: 0 or 1, two addresses of the same service.
+  // `which`: 0 or 1, for the two addresses of the service.
   std::string DiscoveryEndpoint(int router, std::size_t which = 0) const {
     return discoveries_[which]->endpoint(router);
   }
-  // From any thread, also while Run is on: the list as this router would be told it.
+  // From any thread, also during Run: the list as this router would receive it now.
   std::string Known(int router);
-  // The same as it was `ago`, or at the start where that is later.
+  // The same as it was `ago`, but not before the start.
   std::string KnownThen(int router, Duration ago);
   std::vector<std::string> NodeEndpoints(int router) const;
 
   // Serves until Stop. To be called on a thread of its own.
   void Run();
-  // From any thread: the load begins then, at least 50 ms from now, and the faults count from it.
+  // From any thread: states when the load begins, at least 50 ms from now; the faults' times count from it.
   void Start(Time at) { asked_start_ = at.count(); }
   // From any thread: Run returns soon.
   void Stop() { stop_ = true; }
   // After Run.
   WorldTruth TakeTruth();
 
-  // ---- For the machines ----
+  // ---- For the servers ----
   const Scenario& scenario() const { return scenario_; }
   Loop& loop() { return loop_; }
   WorldTruth& truth() { return truth_; }
@@ -54,12 +54,13 @@
   Duration SinceStart() const { return start_ == Time(0) ? Duration(-1) : loop_.Now() - start_; }
   std::size_t ClassOf(std::string_view labels) const;
   std::uint32_t NextSerial() { return ++serial_; }
-  // An attempt of that request has come whole: an earlier one whose connection the router has closed by now
-  // has ended, whether or not the loop has read that close yet.
+  // An attempt of that request has been received completely. If the router has closed the connection of an
+  // earlier attempt by now, that attempt is recorded as ended, even if the loop has not read the close yet:
+  // otherwise the two attempts would seem to overlap.
   void AttemptBegun(RequestId id, Machine& machine, std::uint64_t peer);
   void Missed(RequestId id, int node) { missed_[id].push_back(node); }
   bool MissedCold(RequestId id);
-  // The origin has served a fetch: the nodes that missed keep the value.
+  // The origin has served a fetch: the cache servers that missed store the value.
   void Stored(RequestId id, const std::string& key);
   void DropCopies(const std::string& key);
   std::string EndpointOf(int machine, int router) const;
@@ -69,7 +70,7 @@
   void Schedule(const FaultPlan& fault, std::size_t number);
   void Apply(const FaultPlan& fault, std::size_t number);
   void At(Duration from_start, std::function<void()> run);
-  // The nodes that a fault is to hit, drawn from those in service.
+  // The cache servers that a fault affects, drawn from those in service.
   std::vector<CacheServer*> Pick(const FaultPlan& fault, std::size_t number);
   void ApplyToLinks(const FaultPlan& fault, std::size_t number);
   void List(int machine, Listed state);
@@ -90,7 +91,7 @@
   Rng names_;
   std::unique_ptr<Origin> origin_;
   std::array<std::unique_ptr<Discovery>, 2> discoveries_;
-  std::vector<std::unique_ptr<CacheServer>> nodes_;  // by machine number less 1
+  std::vector<std::unique_ptr<CacheServer>> nodes_;  // by server number minus 1
   std::vector<bool> in_service_;                     // likewise
   std::uint32_t serial_ = 0;
   struct Out {
@@ -100,12 +101,12 @@
   std::unordered_map<RequestId, Out> last_attempt_;
   std::unordered_map<RequestId, std::vector<int>> missed_;
   std::mutex known_lock_;
-  struct KnownList {  // the list, but for what each router is told of its own
+  struct KnownList {  // a state of the server list, without the endpoints, which differ by router
     Time from{0};
     std::vector<Discovery::Line> lines;
     std::int64_t rev = 0;
   };
-  std::vector<KnownList> known_;  // every state it has been in
+  std::vector<KnownList> known_;  // all states of the list, in order of time
   LagMeter lag_;
   std::atomic<bool> stop_{false};
   std::atomic<std::int64_t> asked_start_{0};
