--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -17,7 +17,7 @@
   origin.capacity.full = scenario.origin.cores;
   truth_.machines.push_back(origin);
   origin_ = std::make_unique<Origin>(*this, scenario.origin);
-  // Far behind the nodes' numbers: replacements are added while the run goes on.
+  // Discovery is not among the numbered servers, to which replacements are added during the run.
   for (auto& discovery : discoveries_) discovery = std::make_unique<Discovery>(*this, routers_);
   List(kOrigin, Listed::kInService);
   for (const NodePlan& plan : scenario.nodes) {
@@ -44,7 +44,7 @@
   return number;
 }
 
-// Nodes that run when the load begins hold what is asked for most, as far as it fits.
+// Cache servers that run when the load begins hold the most popular keys, as many as fit.
 void World::WarmUp() {
   for (auto& node : nodes_) {
     const double most = node->plan().memory_mb * (1 << 20);
@@ -140,7 +140,7 @@
 void World::List(int machine, Listed state) {
   for (const auto& discovery : discoveries_) discovery->List(machine, state);
   if (state == Listed::kInService) return;
-  // Whatever becomes of the calls, it counts as told some time later.
+  // After kToldAfter each router counts as notified, whatever happened to its calls.
   const Time told = loop_.Now() + kToldAfter;
   for (int r = 0; r < routers_; ++r) truth_.told.push_back({r, machine, told, true});
 }
@@ -180,7 +180,7 @@
   }
 }
 
-// The faults of the load (hot keys, bursts, floods) and of the routers are played elsewhere.
+// Faults of the load (hot keys, bursts, floods) are injected by the load, faults of the routers by the run.
 void World::Schedule(const FaultPlan& fault, std::size_t number) {
   if (fault.kind == FaultKind::kReplace) {
     At(fault.at, [this, &fault, number] { Replace(fault, number); });
@@ -306,7 +306,8 @@
   }
 }
 
-// Between chosen routers and chosen nodes; the origin and discovery are reached as before.
+// Faults of the links between some routers and some cache servers; those to the origin and to discovery are
+// not affected.
 void World::ApplyToLinks(const FaultPlan& fault, std::size_t number) {
   std::vector<std::pair<CacheServer*, int>> pairs;
   if (fault.kind == FaultKind::kPartition) {
