--- a/lab/load/answer.h
+++ b/lab/load/answer.h
@@ -1,5 +1,5 @@
-// A router's answer to one command, as a client reads it: strictly, and by a reader that shares nothing
-// with the router's own.
+// Parses a router's answer to one command as a client sees it: strictly, and with a parser that shares no
+// code with the router's own.
 #ifndef BRASSWOOD_LAB_LOAD_ANSWER_H_
 #define BRASSWOOD_LAB_LOAD_ANSWER_H_
 
@@ -16,8 +16,9 @@
   std::uint32_t serial = 0;
 };
 
-// kBad comes with end kBad. A value or receipt of another id, or without the mark that the emulator's
-// machines set into all they make, is bad too.
+// Parses one answer at the front of `in`. When it returns kBad, answer.end is kBad too. A value or receipt
+// is also bad if it has another id or lacks the mark (id and serial number) that the emulated servers put
+// into everything they make.
 Parsed ParseClientAnswer(std::string_view in, RequestId id, std::size_t& used, ClientAnswer& answer);
 
 }  // namespace brasswood::lab
