--- a/lab/load/answer.cpp
+++ b/lab/load/answer.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::size_t kLine = 4096, kValue = 64 * 1024;
 
-// "ID:SERIAL:vvvv".
+// Reads the body of a value, "ID:SERIAL:vvvv".
 bool TakeMark(std::string_view value, RequestId id, std::uint32_t& serial) {
   const std::string text = IdText(id) + ":";
   if (!value.starts_with(text)) return false;
