--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -1,5 +1,6 @@
-// The load: clients that send what the schedule says when it says so, whether or not earlier answers have
-// come, and that retry and keep connections as real ones do. It runs on a loop and a thread of its own.
+// The load generator: clients that send each request at its scheduled time, whether or not earlier answers
+// have arrived (an open loop), and that retry and reuse connections as real clients do. It runs its own
+// event loop on its own thread.
 #ifndef BRASSWOOD_LAB_LOAD_LOAD_H_
 #define BRASSWOOD_LAB_LOAD_LOAD_H_
 
@@ -18,19 +19,19 @@
 
 class Load {
  public:
-  // The routers' addresses, hall by hall; they need not listen yet.
+  // `routers`: their addresses, zone by zone; they need not listen yet.
   Load(const Scenario& scenario, const std::vector<std::string>& routers);
   ~Load();
 
   // Sends from `start` on until the scenario's length has passed and every intent has ended, or Stop. To be
   // called on a thread of its own.
   void Run(Time start);
-  // From any thread: sends nothing more; Run returns soon, and what was open by then is left open.
+  // From any thread: nothing more is sent, and Run returns soon. Requests that are open then stay open.
   void Stop() { stop_ = true; }
   // From any thread.
   std::uint64_t sent() const { return sent_; }
   std::uint64_t served() const { return served_; }
-  // After Run. A try that Stop cut off has no end, and no time of it.
+  // After Run. A try that Stop interrupted has the end kOpen and no end time.
   LoadTruth TakeTruth();
 
  private:
@@ -40,15 +41,15 @@
     int router = 0;
     std::uint32_t client = 0;
     BufferPtr buffer;
-    bool up = false;
-    bool used = false;      // has carried a try that was answered
-    long long record = -1;  // the try that it carries; -1: none
+    bool up = false;        // established
+    bool used = false;      // a try on it has been answered
+    long long record = -1;  // index of the open try in LoadTruth::tries; -1: none
     Deadlines::Id deadline;
-    Deadlines::Id leaves;  // its client closes it before the answer
-    bool flood = false;
-    bool crowd = false;  // of those: it asks once whether the router is ready
+    Deadlines::Id leaves;  // when its client closes it before the answer
+    bool flood = false;    // opened by a flood or crowd fault: carries no request
+    bool crowd = false;    // with `flood`: asks once whether the router is ready
   };
-  struct Work {  // an intent under way
+  struct Work {  // the state of an intent
     Arrival arrival;
     int tries = 0, unreached = 0;
   };
@@ -83,7 +84,7 @@
   std::vector<Work> works_;  // by intent
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
-  std::vector<std::vector<std::uint64_t>> idle_;  // by client; the most recent last
+  std::vector<std::vector<std::uint64_t>> idle_;  // connections by client; the most recently used last
   std::size_t open_intents_ = 0;
   bool flooding_ = false;
   bool crowding_ = false;
