--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -14,9 +14,9 @@
 
 constexpr std::string_view kReadyQuestion = "mn\r\n";
 
-// A client waits this much longer than it says, so that a late answer is seen to be late.
+// A client waits this much longer than the deadline it states, so that a late answer is recorded as late.
 constexpr Duration kPatience = std::chrono::milliseconds(400);
-constexpr int kMostUnreached = 3;  // routers in a row that a client finds gone before it gives up
+constexpr int kMostUnreached = 3;  // further tries of a request after routers that were unreachable
 
 }  // namespace
 
@@ -82,7 +82,7 @@
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
 }
 
-// One more try of the intent, under an id of its own.
+// Sends a further try of the intent, with its own request id.
 void Load::Begin(std::uint32_t intent) {
   Work& w = works_[intent];
   const int number = w.tries + w.unreached;
@@ -136,7 +136,7 @@
   const int router = PickRouter(a.hall);
   truth_.tries.back().router = static_cast<std::int16_t>(router);
   c = Open(router, a.client, false);
-  if (c == nullptr) {  // refused at once, or this process has no descriptor left
+  if (c == nullptr) {  // refused at once, or this process has no file descriptor left
     truth_.tries.back().end = TryEnd::kUnreachable;
     truth_.tries.back().ended = loop_.Now();
     loop_.deadlines().Set(loop_.Now(),
@@ -154,7 +154,7 @@
 Load::Connection* Load::Open(int router, std::uint32_t client, bool flood) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return nullptr;
-  // Clients come from 127.0.1.x, a flood from 127.0.2.1.
+  // Clients connect from 127.0.1.x, a flood from 127.0.2.1.
   sockaddr_in from{};
   from.sin_family = AF_INET;
   const std::uint32_t last =
@@ -187,7 +187,7 @@
   bufferevent_enable(c.buffer.get(), EV_READ | EV_WRITE);
   const std::uint64_t id = c.id;
   const sockaddr_in& to = routers_[static_cast<std::size_t>(router)];
-  // A refusal at once may have gone through OnEvent already.
+  // If the connection was refused at once, OnEvent may have closed and removed it already.
   const bool begun =
       bufferevent_socket_connect(c.buffer.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
   auto* held = connections_.Find(id);
@@ -228,7 +228,8 @@
   MayLeave(c);
 }
 
-// A client may leave at any moment of its wait, so also right behind its last byte.
+// Lets the client leave before the answer, if a fault says so: at a random moment of its wait, also right
+// after its last byte.
 void Load::MayLeave(const Connection& c) {
   const TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
   for (const FaultPlan& f : scenario_.faults) {
@@ -251,7 +252,7 @@
     evbuffer_drain(in, evbuffer_get_length(in));
     return;
   }
-  if (c.record < 0) return Close(c.id);  // what nobody asked for
+  if (c.record < 0) return Close(c.id);  // data without a request
   TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
   std::size_t used = 0;
   ClientAnswer answer;
@@ -272,7 +273,7 @@
     return WriteTry(c);
   }
   if (c.flood) {
-    // It comes back as soon as it is closed; one of a crowd takes its time.
+    // A connection of a flood is opened again at once when it is closed, one of a crowd after a second.
     const std::chrono::milliseconds away(c.crowd ? 1000 : 1);
     loop_.deadlines().Set(loop_.Now() + away,
                           [this, router = c.router, crowd = c.crowd] { OpenIdle(router, crowd); });
@@ -283,7 +284,7 @@
   const TryRecord t = truth_.tries[static_cast<std::size_t>(c.record)];
   const bool nothing_came = evbuffer_get_length(bufferevent_get_input(c.buffer.get())) == 0;
   if (c.up && c.used && nothing_came && !t.resent) {
-    // A kept connection that closed as the command was on its way: once more, on a new one.
+    // A reused connection that closed while the command was in transit: sent again on a new connection.
     TryRecord& crossed = truth_.tries[static_cast<std::size_t>(c.record)];
     crossed.end = TryEnd::kClosed;
     crossed.ended = loop_.Now();
@@ -294,7 +295,7 @@
   Finish(c, c.up ? TryEnd::kClosed : TryEnd::kUnreachable);
 }
 
-// The try that the connection carries has ended so.
+// Records the end of the try on this connection, and reuses or closes the connection.
 void Load::Finish(Connection& c, TryEnd end) {
   TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
   t.end = end;
@@ -316,7 +317,7 @@
   Settle(done);
 }
 
-// What becomes of the intent now.
+// After a try has ended: sends a further try, now or after a backoff, or ends the intent.
 void Load::Settle(const TryRecord& t) {
   Intent& intent = truth_.intents[t.intent];
   Work& w = works_[t.intent];
@@ -352,7 +353,7 @@
     (*connections_.Find(id))->deadline = {};
     Close(id);
   });
-  // A client that hoards keeps its connections and never uses one again.
+  // With Pool::kHoard connections stay open and are never reused.
   if (scenario_.load.pool == Pool::kKeep) idle_[c.client].push_back(c.id);
 }
 
