--- a/lab/load/schedule.h
+++ b/lab/load/schedule.h
@@ -1,5 +1,5 @@
-// When each request is meant to be sent, and what it asks for: drawn ahead from the seed alone, so that
-// nothing a router does can shift it (an open loop).
+// Decides when each request is to be sent and what it asks for. It depends on the scenario and its seed
+// alone, so that nothing that a router does can change it (an open loop).
 #ifndef BRASSWOOD_LAB_LOAD_SCHEDULE_H_
 #define BRASSWOOD_LAB_LOAD_SCHEDULE_H_
 
@@ -18,7 +18,7 @@
   Duration at{0};  // from the start
   std::uint8_t request_class = 0, tenant = 0, hall = 0;
   std::uint32_t client = 0;
-  long long key = 0;  // the number that KeyName names
+  long long key = 0;  // its number; KeyName makes the key's name of it
   RequestId id = 0;
 };
 
@@ -26,7 +26,7 @@
  public:
   // `scenario` must outlive it.
   explicit Schedule(const Scenario& scenario);
-  // The next one; none once the length has passed.
+  // The next arrival; none after the end of the scenario.
   std::optional<Arrival> Next();
   // The id of a further try of the same intent.
   static RequestId Again(RequestId first, int number) {
@@ -40,8 +40,8 @@
   Rng when_, what_;
   std::discrete_distribution<int> class_, tenant_, hall_;
   Zipf zipf_;
-  std::vector<std::vector<std::uint32_t>> clients_;  // by hall
-  double most_;                                      // no rate is above it
+  std::vector<std::vector<std::uint32_t>> clients_;  // by zone
+  double most_;                                      // upper bound of Rate
   Duration at_{0};
   std::uint64_t serial_ = 0;
 };
