--- a/lab/load/schedule.cpp
+++ b/lab/load/schedule.cpp
@@ -29,7 +29,7 @@
   for (const FaultPlan& f : s.faults) {
     if (f.kind == FaultKind::kBurst) most_ *= std::max(1.0, f.size);
   }
-  // Clients stand with the halls by share, and at least one with each.
+  // Clients are distributed over the zones by share, with at least one in each.
   for (int c = 0; c < std::max<int>(s.load.clients, static_cast<int>(s.halls.size())); ++c) {
     const auto hall = static_cast<std::size_t>(c) < s.halls.size() ? static_cast<std::size_t>(c)
                                                                    : static_cast<std::size_t>(hall_(what_));
@@ -49,7 +49,7 @@
   if (scenario_.load.steady) {
     at_ += Duration(static_cast<std::int64_t>(1e9 / std::max(Rate(at_), 1e-3)));
   } else {
-    // Thinning (Lewis and Shedler 1979): draw at the highest rate, keep with the share of the present one.
+    // Thinning (Lewis and Shedler 1979): draw at the maximum rate, accept with probability rate / maximum.
     do {
       at_ += Duration(static_cast<std::int64_t>(std::exponential_distribution<double>(most_)(when_) * 1e9));
     } while (at_ < scenario_.length && Unit(when_) >= Rate(at_) / most_);
@@ -66,7 +66,7 @@
   a.key = static_cast<long long>(zipf_(what_)) + static_cast<long long>(scenario_.load.drift * seconds);
   for (const FaultPlan& f : scenario_.faults) {
     if (f.kind != FaultKind::kHotKey || !Active(f, at_) || !Chance(what_, f.share)) continue;
-    // Keys that hardly anyone asked for until now.
+    // Keys from the middle of the ranking, which were hardly requested before.
     a.key = scenario_.load.keys / 2 + what_(static_cast<std::uint32_t>(std::max(1.0, f.size)));
   }
   a.id = Mix(scenario_.seed << 32 ^ ++serial_);
