--- a/lab/preload/call_mode.h
+++ b/lab/preload/call_mode.h
@@ -1,5 +1,5 @@
-// What ails a router's system calls and its wall clock: a small file that the laboratory and the router's
-// process both map.
+// The faults to inject into a router's system calls and wall clock. The laboratory writes them to a small
+// file that it and the router's process both map.
 #ifndef BRASSWOOD_LAB_PRELOAD_CALL_MODE_H_
 #define BRASSWOOD_LAB_PRELOAD_CALL_MODE_H_
 
@@ -9,8 +9,8 @@
 namespace brasswood::lab {
 
 struct CallMode {
-  std::atomic<std::uint32_t> per_mille;    // of the calls that fail or come short; 0: none
-  std::atomic<std::int64_t> wall_step_ns;  // by which CLOCK_REALTIME is off
+  std::atomic<std::uint32_t> per_mille;    // share of the calls that fail or do less than asked; 0: none
+  std::atomic<std::int64_t> wall_step_ns;  // added to CLOCK_REALTIME
 };
 
 }  // namespace brasswood::lab
