--- a/lab/preload/call_fault.cpp
+++ b/lab/preload/call_fault.cpp
@@ -1,8 +1,8 @@
-// Loaded into a router's process by the laboratory (LD_PRELOAD): a share of its calls on sockets fails in
-// ways that Linux documents, or does less than was asked, and its wall clock is off, while a small file,
-// mapped into both processes, says so. Errors that end a connection are given only on connections that the
-// process made itself, and end them: a client whose connection broke is owed nothing. Files and pipes are
-// left alone.
+// Loaded into a router's process by the laboratory (LD_PRELOAD). While a small file that both processes map
+// says so, a share of its socket calls fails with errors that Linux documents, or does less than asked, and
+// its wall clock is off. Errors that end a connection are returned only for connections that the process
+// opened itself, and really end them: a client whose own connection broke would have no right to an answer.
+// Files and pipes are not affected.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -42,8 +42,8 @@
   return shared;
 }
 
-// Drawn from the seed in the environment and the number of the call; one a process, so that a run's draws
-// do not hang on its process ids.
+// A pseudorandom number from the seed in the environment and a counter of calls. The seed is given to each
+// process separately, so that the numbers of a run do not depend on its process ids.
 std::uint64_t Draw() {
   static const std::uint64_t seed = [] {
     const char* text = std::getenv("BRASSWOOD_LAB_CALL_SEED");
@@ -69,11 +69,11 @@
 }
 
 constexpr int kMostDescriptors = 1 << 16;
-std::atomic<bool> g_made[kMostDescriptors];  // sockets that this process connected itself
+std::atomic<bool> g_made[kMostDescriptors];  // sockets on which this process called connect
 
 bool Made(int fd) { return fd >= 0 && fd < kMostDescriptors && g_made[fd]; }
 
-// The connection has timed out, as the kernel would have it.
+// Ends the connection as the kernel does when it times out.
 ssize_t TimedOut(int fd) {
   ::shutdown(fd, SHUT_RDWR);
   errno = ETIMEDOUT;
@@ -91,7 +91,7 @@
 
 using Transfer = ssize_t (*)(int, const iovec*, int);
 
-// A read or write of the system's, or what ails it.
+// Does a readv or writev, with or without a fault.
 ssize_t Transferred(Transfer next, int fd, const iovec* parts, int count) {
   switch (OnTransfer(fd)) {
     case Trouble::kInterrupted:
