--- a/lab/preload/disk_mode.h
+++ b/lab/preload/disk_mode.h
@@ -1,5 +1,5 @@
-// What ails a router's disk. The number stands in a small file that the laboratory and the router's process
-// both map.
+// The fault to inject into a router's disk. The laboratory writes its number to a small file that it and
+// the router's process both map.
 #ifndef BRASSWOOD_LAB_PRELOAD_DISK_MODE_H_
 #define BRASSWOOD_LAB_PRELOAD_DISK_MODE_H_
 
@@ -7,11 +7,11 @@
 
 enum class DiskMode : int {
   kSound,
-  kFull,      // nothing new fits: ENOSPC
+  kFull,      // no space left: ENOSPC
   kError,     // EIO on write, fsync and rename
-  kStall,     // no call comes back
+  kStall,     // calls block
   kReadOnly,  // EROFS
-  kShort      // writes are taken and half of them lost
+  kShort      // writes report success, but half of the bytes are lost
 };
 
 }  // namespace brasswood::lab
