--- a/lab/preload/disk_fault.cpp
+++ b/lab/preload/disk_fault.cpp
@@ -1,6 +1,6 @@
-// Loaded into a router's process by the laboratory (LD_PRELOAD): what it does with files in one folder
-// fails as on a disk that is full, broken, dead or read-only, while a small file, mapped into both
-// processes, says so. Files elsewhere, sockets and pipes are left alone.
+// Loaded into a router's process by the laboratory (LD_PRELOAD). While a small file that both processes map
+// says so, calls on files in one folder behave as on a disk that is full, failing, stalled or read-only, or
+// lose part of what is written. Files elsewhere, sockets and pipes are not affected.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <limits.h>
@@ -59,7 +59,7 @@
   return OursByName(path);
 }
 
-// A dead disk: nothing comes back until it is sound again.
+// A stalled disk: blocks until the fault is over.
 void Wait() {
   while (Mode() == DiskMode::kStall) {
     const timespec pause{0, 5000000};
@@ -72,7 +72,7 @@
   return -1;
 }
 
-// What an open, rename or unlink that changes the folder meets; 0: nothing.
+// The error for a rename or fsync in the folder; 0: none.
 int Changing() {
   Wait();
   switch (Mode()) {
@@ -113,7 +113,7 @@
         return Fail(ENOSPC);
       case DiskMode::kError:
         return Fail(EIO);
-      case DiskMode::kShort:  // taken, and half of it lost: the file comes back shorter
+      case DiskMode::kShort:  // reports success, but half of the bytes are lost: the file is too short
         (void)!next(fd, data, size / 2);
         return static_cast<ssize_t>(size);
       default:
