--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -1,6 +1,6 @@
-// Routers that break one rule each, to show that the judge catches them. What they have in common is the
-// plainest router there can be: a thread for each client, blocking sockets, a node by the key's hash.
-// The first argument names the rule to break; "honest" breaks none.
+// Routers that each break one rule, to show that the rule checker detects it. They share a minimal router:
+// one thread for each client, blocking sockets, and a cache server chosen by the hash of the key. The first
+// argument names the fault; "honest" breaks no rule.
 #include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -28,14 +28,14 @@
 
 enum class Mode {
   kHonest,
-  kDoubleWrite,   // a publish goes out again after its receipt
-  kLostAnswer,    // some clients are hung up on instead of answered
-  kLateAnswer,    // some answers come after the deadline
-  kForeignValue,  // some values are of the router's own making
-  kLateDrain,     // the server list is never read again
-  kColdPush,      // all reads go to the machine that started last
-  kTwoAtOnce,     // reads go to two nodes at a time
-  kRefusedRun     // publishes that ran are refused as though they had not
+  kDoubleWrite,   // a write that must not repeat is sent again after its receipt
+  kLostAnswer,    // some connections are closed without an answer
+  kLateAnswer,    // some answers are sent after the deadline
+  kForeignValue,  // some values are invented by the router
+  kLateDrain,     // the first change of the server list is ignored, and the list never read again
+  kColdPush,      // all reads go to the cache server that started last
+  kTwoAtOnce,     // reads go to two cache servers at the same time
+  kRefusedRun     // writes that ran are refused as not run
 };
 constexpr std::string_view kModes[] = {"honest",      "double-write",  "lost-answer",
                                        "late-answer", "foreign-value", "late-drain",
@@ -57,7 +57,8 @@
     return at && ::connect(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) == 0;
   }
   void Write(const std::string& text) const { (void)!::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
-  // Reads until `parse` has a whole message; false where the other side closes or falls silent.
+  // Reads until `parse` has a complete message; false if the other side closes or sends nothing for
+  // kPatienceMs.
   bool Read(const std::function<Parsed(std::string_view, std::size_t&)>& parse) {
     for (;;) {
       std::size_t used = 0;
@@ -121,7 +122,7 @@
       if (!list) continue;
       const bool changed = list->entries.size() != list_.entries.size() || list->rev != list_.rev;
       told_ = told_ || changed;
-      // The one that breaks the rule on drains has been told, and goes on with the list of before.
+      // With kLateDrain the router has received the change, but goes on with the earlier list.
       if (mode_ != Mode::kLateDrain) list_ = *list;
     }
   }
@@ -140,7 +141,7 @@
     return {};
   }
 
-  // Up to two nodes for the key, the first to be asked first.
+  // Up to two cache servers for the key, in the order in which they are asked.
   std::vector<std::string> Nodes(const std::string& key) {
     const std::lock_guard lock(lock_);
     std::vector<const ServerEntry*> up;
@@ -224,7 +225,7 @@
       const bool chosen = ++count_ % 10 == 0;
       if (mode_ == Mode::kLostAnswer && chosen) return;
       if (mode_ == Mode::kForeignValue && chosen && answer.kind == AnswerKind::kValue) {
-        // Well formed, and marked as only machines mark: what no machine made all the same.
+        // Well formed and marked like the value of a server, but made by none.
         answer.body = command.content.id + ":4000000000:vv";
       }
       if (mode_ == Mode::kLateAnswer && chosen) {
