--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -1,4 +1,5 @@
-// The judge on made-up records: one case for each way to break a rule, and its lawful twin.
+// The rule checker on constructed records: one case for each way to violate a rule, and a similar case that
+// violates none.
 #include "lab/truth/judge.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +14,7 @@
 constexpr Time kStart{1000000000000};
 Time At(int ms) { return kStart + milliseconds(ms); }
 
-// Two nodes beside the origin; classes 0 read, 1 publish (never), 2 yank (keyed, 1 s).
+// Two cache servers and the origin. Class 0 reads, 1 writes that never repeat, 2 keyed writes (1 s window).
 struct Case {
   Truth truth;
   Case() {
@@ -71,7 +72,7 @@
 
 }  // namespace
 
-TEST_CASE("the judge finds each broken rule, and nothing in what is lawful") {
+TEST_CASE("the rule checker reports each violation, and nothing else") {
   struct Row {
     const char* what;
     std::function<void(Case&)> fill;
@@ -85,9 +86,9 @@
          c.Attempt(1, 1, 10, 90, Fate::kHit);
        },
        0, Rule::kAnswer},
-      {"within the slack", [](Case& c) { c.Try(1, 0, 0, 565, TryEnd::kBusy); }, 0, Rule::kAnswer},
-      {"late", [](Case& c) { c.Try(1, 0, 0, 575, TryEnd::kBusy); }, 1, Rule::kAnswer},
-      {"late by less than the laboratory lagged",
+      {"answered within the slack", [](Case& c) { c.Try(1, 0, 0, 565, TryEnd::kBusy); }, 0, Rule::kAnswer},
+      {"answered late", [](Case& c) { c.Try(1, 0, 0, 575, TryEnd::kBusy); }, 1, Rule::kAnswer},
+      {"answered late by less than the laboratory's own lag",
        [](Case& c) {
          c.truth.world.lag = milliseconds(10);
          c.Try(1, 0, 0, 575, TryEnd::kBusy);
@@ -100,49 +101,49 @@
          c.truth.absences.push_back({0, At(200), At(300)});
        },
        0, Rule::kAnswer},
-      {"not answered, of another router's death",
+      {"never answered, while another router was killed",
        [](Case& c) {
          c.Try(1, 0, 0, 900, TryEnd::kOpen);
          c.truth.absences.push_back({1, At(200), At(300)});
        },
        1, Rule::kAnswer},
-      {"taken early in a shutdown, and never answered by the router that was killed at its end",
+      {"sent early in a shutdown, never answered by the router, which was killed at its end",
        [](Case& c) {
          c.Try(1, 0, 600, 1500, TryEnd::kOpen);
          c.truth.absences.push_back({0, At(1000), At(1300), Time(0), At(0)});
        },
        0, Rule::kAnswer},
-      {"taken late in a shutdown, and never answered",
+      {"sent late in a shutdown, and never answered",
        [](Case& c) {
          c.Try(1, 0, 750, 1500, TryEnd::kOpen);
          c.truth.absences.push_back({0, At(1000), At(1300), Time(0), At(0)});
        },
        1, Rule::kAnswer},
-      {"late by less than its router stood still",
+      {"answered late by less than its router was suspended",
        [](Case& c) {
          c.Try(1, 0, 0, 650, TryEnd::kBusy);
          c.truth.holds.push_back({0, At(400), At(520)});
        },
        0, Rule::kAnswer},
-      {"late, while another router stood still",
+      {"answered late, while another router was suspended",
        [](Case& c) {
          c.Try(1, 0, 0, 650, TryEnd::kBusy);
          c.truth.holds.push_back({1, At(400), At(520)});
        },
        1, Rule::kAnswer},
-      {"a client that left, and an attempt that began just then",
+      {"an attempt that began shortly after its client left",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kLeft);
          c.Attempt(1, 1, 240, 300, Fate::kHit);
        },
        0, Rule::kAnswer},
-      {"an attempt begun long after its client left",
+      {"an attempt that began too late after its client left",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kLeft);
          c.Attempt(1, 1, 260, 300, Fate::kHit);
        },
        1, Rule::kAnswer},
-      {"half of the answers with no length passed on",
+      {"half of the answers without a length passed on",
        [](Case& c) {
          for (RequestId id = 1; id <= 20; ++id) {
            c.Try(id, 0, 0, 100, id % 2 == 0 ? TryEnd::kValue : TryEnd::kFailed);
@@ -150,7 +151,7 @@
          }
        },
        0, Rule::kAnswer},
-      {"fewer of them",
+      {"fewer than half of the answers without a length passed on",
        [](Case& c) {
          for (RequestId id = 1; id <= 20; ++id) {
            c.Try(id, 0, 0, 100, id % 3 == 0 ? TryEnd::kValue : TryEnd::kFailed);
@@ -160,17 +161,17 @@
        1, Rule::kAnswer},
       {"never sent", [](Case& c) { c.Try(1, 0, 0, 900, TryEnd::kUnreachable).sent = Time(0); }, 0,
        Rule::kAnswer},
-      {"closed at rest, nothing sent on", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kClosed).pooled = true; },
-       0, Rule::kAnswer},
-      {"closed with an attempt out",
+      {"an idle connection closed, nothing sent on",
+       [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kClosed).pooled = true; }, 0, Rule::kAnswer},
+      {"connection closed while an attempt was open",
        [](Case& c) {
          c.Try(1, 0, 0, 5, TryEnd::kClosed).pooled = true;
          c.Attempt(1, 1, 2, 4, Fate::kCut);
        },
        1, Rule::kAnswer},
-      {"closed on the first command", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kClosed); }, 1,
+      {"connection closed on its first command", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kClosed); }, 1,
        Rule::kAnswer},
-      {"noise", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kBad); }, 1, Rule::kAnswer},
+      {"a malformed answer", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kBad); }, 1, Rule::kAnswer},
       {"a value that another attempt made",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
@@ -191,47 +192,47 @@
          c.Attempt(1, 0, 21, 90, Fate::kServed);
        },
        0, Rule::kOnce},
-      {"two at once",
+      {"two attempts at once",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
          c.Attempt(1, 1, 10, 50, Fate::kCut, 9);
          c.Attempt(1, 2, 49, 90, Fate::kHit);
        },
        1, Rule::kOnce},
-      {"a second one while the first is hung and open",
+      {"a second attempt while the first is never answered and open",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
          c.Attempt(1, 1, 10, -1, Fate::kSwallowed, 9);
          c.Attempt(1, 2, 49, 90, Fate::kHit);
        },
        1, Rule::kOnce},
-      {"a publish again after it was turned away",
+      {"a write that must not repeat, sent again after it was turned away",
        [](Case& c) {
          c.Try(1, 1, 0, 100, TryEnd::kReceipt);
          c.Attempt(1, 0, 10, 20, Fate::kTurnedAway, 9);
          c.Attempt(1, 0, 30, 90, Fate::kServed);
        },
        0, Rule::kOnce},
-      {"a publish again after a reset",
+      {"a write that must not repeat, sent again after a reset",
        [](Case& c) {
          c.Try(1, 1, 0, 100, TryEnd::kReceipt);
          c.Attempt(1, 0, 10, 20, Fate::kReset, 9);
          c.Attempt(1, 0, 30, 90, Fate::kServed);
        },
        1, Rule::kOnce},
-      {"a publish that may have run, refused",
+      {"a write that may have run, refused",
        [](Case& c) {
          c.Try(1, 1, 0, 100, TryEnd::kBusy);
          c.Attempt(1, 0, 10, 20, Fate::kReset);
        },
        1, Rule::kOnce},
-      {"a publish that may have run, failed",
+      {"a write that may have run, answered as failed",
        [](Case& c) {
          c.Try(1, 1, 0, 100, TryEnd::kFailed);
          c.Attempt(1, 0, 10, 20, Fate::kReset);
        },
        0, Rule::kOnce},
-      {"a publish once more by its own client, whose connection broke",
+      {"a write that must not repeat, sent again by its client after its connection closed",
        [](Case& c) {
          c.Try(1, 1, 0, 15, TryEnd::kClosed).pooled = true;
          c.truth.absences.push_back({0, At(14), At(500)});
@@ -242,27 +243,27 @@
          c.Attempt(1, 0, 30, 90, Fate::kServed);
        },
        0, Rule::kOnce},
-      {"a keyed write again within its window",
+      {"a keyed write sent again within its window",
        [](Case& c) {
          c.Try(1, 2, 0, 400, TryEnd::kReceipt);
          c.Attempt(1, 0, 10, 20, Fate::kReset, 9);
          c.Attempt(1, 0, 300, 390, Fate::kServed);
        },
        0, Rule::kOnce},
-      {"a keyed write again after it",
+      {"a keyed write sent again after its window",
        [](Case& c) {
          c.Try(1, 2, 0, 400, TryEnd::kReceipt).wait = milliseconds(5000);
          c.Attempt(1, 0, 10, 20, Fate::kReset, 9);
          c.Attempt(1, 0, 1100, 1190, Fate::kServed);
        },
        1, Rule::kOnce},
-      {"one attempt too many",
+      {"more attempts than allowed",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kFailed);
          for (int i = 0; i < 4; ++i) c.Attempt(1, 1, 10 + 10 * i, 15 + 10 * i, Fate::kTurnedAway);
        },
        1, Rule::kOnce},
-      {"as many as are allowed, and one more for what its client sent once more",
+      {"as many attempts as allowed, and one more after its client sent the request again",
        [](Case& c) {
          c.Try(1, 0, 0, 45, TryEnd::kClosed).pooled = true;
          c.truth.absences.push_back({0, At(44), At(500)});
@@ -273,7 +274,7 @@
          c.Attempt(1, 1, 60, 65, Fate::kTurnedAway);
        },
        0, Rule::kOnce},
-      {"one too many for what its client sent once more",
+      {"more attempts than allowed after its client sent the request again",
        [](Case& c) {
          c.Try(1, 0, 0, 45, TryEnd::kClosed).pooled = true;
          c.truth.absences.push_back({0, At(44), At(500)});
@@ -284,24 +285,24 @@
          for (int i = 0; i < 4; ++i) c.Attempt(1, 1, 55 + 10 * i, 60 + 10 * i, Fate::kTurnedAway);
        },
        1, Rule::kOnce},
-      {"an attempt that no client asked for", [](Case& c) { c.Attempt(7, 1, 10, 20, Fate::kHit); }, 1,
+      {"an attempt without a client's request", [](Case& c) { c.Attempt(7, 1, 10, 20, Fate::kHit); }, 1,
        Rule::kOnce},
 
-      {"sent within a second of being told",
+      {"sent within the grace period after the notice",
        [](Case& c) {
          c.Try(1, 0, 900, 1000, TryEnd::kValue);
          c.Attempt(1, 1, 1040, 1050, Fate::kHit);
          c.truth.world.told.push_back({0, 1, At(0)});
        },
        0, Rule::kDrain},
-      {"sent after it",
+      {"sent after the grace period",
        [](Case& c) {
          c.Try(1, 0, 1000, 1200, TryEnd::kValue);
          c.Attempt(1, 1, 1060, 1150, Fate::kHit);
          c.truth.world.told.push_back({0, 1, At(0)});
        },
        1, Rule::kDrain},
-      {"sent by a router that was not told",
+      {"sent by a router that was not notified",
        [](Case& c) {
          c.Try(1, 0, 1000, 1200, TryEnd::kValue);
          c.Attempt(1, 1, 1060, 1150, Fate::kHit);
@@ -309,7 +310,7 @@
        },
        0, Rule::kDrain},
 
-      {"the origin fell under cold misses",
+      {"the origin overloaded by cold misses",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
          AttemptRecord& m = c.Attempt(1, 0, 10, 90, Fate::kServed);
@@ -318,7 +319,7 @@
          c.truth.world.origin_fell.push_back(At(20));
        },
        1, Rule::kColdPush},
-      {"the origin fell under other load",
+      {"the origin overloaded by other load",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
          c.Attempt(1, 0, 10, 90, Fate::kServed).work_s = 1;
@@ -341,8 +342,9 @@
   }
 }
 
-TEST_CASE("a later start says nothing of the work that a machine took before it") {
-  // Pushed far beyond what a cold machine bears, while it was warm; then it dies and starts again.
+TEST_CASE("work received before a restart is checked against the capacity at that time") {
+  // A server is sent far more than a cold one sustains, in one case while it is warm and restarts only
+  // later. Guards against counting that as the overload of a cold server.
   for (const bool again : {false, true}) {
     Case c;
     c.truth.scenario.rules.fall_multiple = 4;
@@ -362,13 +364,13 @@
   }
 }
 
-TEST_CASE("a cold machine's budget is a sum over any window, a warm one's is not counted") {
+TEST_CASE("the work budget holds in any window of a cold server, and a warm server has none") {
   for (const bool cold : {true, false}) {
     Case c;
     MachineRecord& m = c.truth.world.machines[1];
     m.capacity = {1, 0.15, cold ? kStart : Time(0), milliseconds(20000)};
     c.truth.load.intents.reserve(400);
-    // Capacity 0.15 to 0.2, four times that over 2 s: 1.2 to 1.6 of work, and 0.04 for chance.
+    // Capacity 0.15 to 0.2, four times that over 2 s: 1.2 to 1.6 s of work, and 0.04 s of slack.
     for (int i = 0; i < 200; ++i) {
       c.Try(static_cast<RequestId>(i + 1), 0, i * 10, i * 10 + 5, TryEnd::kBusy);
       c.Attempt(static_cast<RequestId>(i + 1), 1, i * 10, i * 10 + 5, Fate::kTurnedAway).work_s = 0.01f;
