--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -1,4 +1,4 @@
-// The laboratory's parts that need no socket.
+// Unit tests of those parts of the laboratory that need no socket.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("what is wrong with a scenario is told with its line, all at once") {
+TEST_CASE("errors in a scenario are reported with their lines, all at once") {
   CHECK(Wrong(kLeast).empty());
   const std::pair<std::string, std::string> cases[] = {
       {"lenght_s = 3\n" + kLeast, "s.toml:1:12: lenght_s: is not known here; did you mean 'length_s'?"},
@@ -70,7 +70,7 @@
   CHECK(std::count(two.begin(), two.end(), '\n') == 1);
 }
 
-TEST_CASE("a study's changes go before the file and are checked like it") {
+TEST_CASE("a study's overrides take precedence over the file and are checked in the same way") {
   const Scenario s = ReadScenario(kLeast, "s.toml", {"load.rate=7.5", "nodes.0.cores=9", "origin.cores=3"});
   CHECK(s.load.rate == 7.5);
   CHECK(s.nodes[0].cores == 9);
@@ -81,7 +81,7 @@
   CHECK_THAT(Wrong(kLeast, {"nodes.4.cores=1"}), Catch::Contains("there are not so many"));
 }
 
-TEST_CASE("every scenario that is shipped is sound") {
+TEST_CASE("every scenario in lab/scenarios is valid") {
   int n = 0;
   for (const auto& file : std::filesystem::directory_iterator(BRASSWOOD_SOURCE "/lab/scenarios")) {
     INFO(file.path());
@@ -91,7 +91,7 @@
   CHECK(n >= 10);
 }
 
-TEST_CASE("one seed is one schedule, another seed another") {
+TEST_CASE("the same seed gives the same schedule, another seed a different one") {
   const auto read = [](const std::string& seed) {
     return All(ReadScenario("seed = " + seed + "\n" + kLeast + "[load]\nrate = 400\nkeys = 100\n", "s"));
   };
@@ -102,11 +102,11 @@
     same &= a[i].at == b[i].at && a[i].id == b[i].id && a[i].key == b[i].key;
   CHECK(same);
   CHECK(a[0].at != c[0].at);
-  CHECK(a.size() > 7000);  // 8000 are meant
+  CHECK(a.size() > 7000);  // 8000 expected: 400 a second for 20 s
   CHECK(a.size() < 9000);
 }
 
-TEST_CASE("bursts, hot keys and steady arrivals are in the schedule") {
+TEST_CASE("the schedule contains bursts, hot keys and steady arrivals") {
   const Scenario s =
       ReadScenario(kLeast +
                        "[load]\nrate = 100\narrivals = 'steady'\nkeys = 1000\n"
@@ -122,11 +122,11 @@
   }
   CHECK(std::abs(before - 200) <= 1);
   CHECK(std::abs(in_burst - 600) <= 2);
-  CHECK(hot > 200);  // of 500, half
+  CHECK(hot > 200);  // half of 500 expected
   CHECK(hot_before < 20);
 }
 
-TEST_CASE("a client reads answers strictly") {
+TEST_CASE("the client's parser accepts only well-formed answers to its own request") {
   const RequestId id = 0xabc;
   const std::string o = " O" + IdText(id), mark = IdText(id) + ":7:vv";
   const std::string value = "VA " + std::to_string(mark.size()) + o + "\r\n" + mark + "\r\n";
@@ -158,14 +158,14 @@
   }
   std::size_t used = 0;
   ClientAnswer answer;
-  for (std::size_t n = 0; n < value.size(); ++n) {  // at every byte
+  for (std::size_t n = 0; n < value.size(); ++n) {  // every incomplete prefix
     CHECK(ParseClientAnswer(std::string_view(value).substr(0, n), id, used, answer) == Parsed::kMore);
   }
   CHECK(ParseClientAnswer(value, id, used, answer) == Parsed::kDone);
   CHECK(answer.serial == 7);
 }
 
-TEST_CASE("the emulator reads HTTP requests at every split") {
+TEST_CASE("the emulator's HTTP parser waits for the rest of a request and refuses a malformed one") {
   const std::string text =
       "PUT /a%2Fb?x=1&wait=20 HTTP/1.1\r\nHost: h\r\nx-txn: 12\r\nContent-Length: 3\r\n\r\nabc";
   HttpRequest r;
@@ -186,7 +186,7 @@
   }
 }
 
-TEST_CASE("a key store drops what was used longest ago") {
+TEST_CASE("a key store evicts the least recently used key") {
   KeyStore store(30);
   store.Put("a", 10);
   store.Put("b", 10);
@@ -195,26 +195,26 @@
   store.Put("d", 10);
   CHECK_FALSE(store.Use("b"));
   CHECK(store.Use("a"));
-  store.Put("a", 25);  // again, larger: the others go
+  store.Put("a", 25);  // stored again, larger: evicts the others
   CHECK(store.size() == 1);
   CHECK(store.bytes() == 25);
   store.Put("huge", 31);
   CHECK(store.size() == 0);
 }
 
-TEST_CASE("a station works, lets wait and turns away, and what is called off makes room") {
+TEST_CASE("a work queue starts, queues and rejects requests, and a cancelled one frees its place") {
   Station s(1, 1);
   CHECK(s.Take(1) == Station::Took::kStarted);
   CHECK(s.Take(2) == Station::Took::kWaits);
   CHECK(s.Take(3) == Station::Took::kFull);
-  CHECK_FALSE(s.End(2));  // it was only waiting
+  CHECK_FALSE(s.End(2));  // was only queued: no core becomes free
   CHECK(s.Take(4) == Station::Took::kWaits);
   CHECK(s.End(1) == std::optional<Station::Token>(4));
   CHECK_FALSE(s.End(4));
   CHECK(s.running() == 0);
 }
 
-TEST_CASE("percentiles come with their count and stay within a bin of the truth") {
+TEST_CASE("a latency histogram's percentiles are exact to within one bin") {
   LatencyHistogram h;
   CHECK(h.Percentile(0.99) == 0);
   for (int i = 1; i <= 1000; ++i) h.Add(std::chrono::milliseconds(i));
@@ -225,7 +225,7 @@
   CHECK(h.Percentile(1.0) >= 1e5);
 }
 
-TEST_CASE("a comparison says so where there is no difference, and which side is better where there is") {
+TEST_CASE("a comparison reports no difference where there is none, and otherwise which side is better") {
   Rng rng(3);
   std::vector<double> a, same, better;
   for (int i = 0; i < 12; ++i) {
@@ -243,13 +243,13 @@
   CHECK(Median({3, 1, 2, 10}) == 2.5);
 }
 
-TEST_CASE("the nearest name is a matter of edits") {
+TEST_CASE("the edit distance counts insertions, deletions and replacements") {
   CHECK(EditDistance("", "abc") == 3);
   CHECK(EditDistance("length", "lenght") == 2);
   CHECK(EditDistance("same", "same") == 0);
 }
 
-TEST_CASE("the soak's scenarios are sound, the same for the same seed, and overlap faults of every kind") {
+TEST_CASE("soak scenarios are valid, the same for the same seed, and overlap faults of every kind") {
   const SoakPlan plan;
   std::set<FaultKind> kinds;
   std::size_t overlapping = 0;
@@ -271,7 +271,7 @@
   CHECK(overlapping > 400);
 }
 
-TEST_CASE("faults of calls and clocks that cannot be meant are refused with their line") {
+TEST_CASE("invalid faults of system calls and clocks are refused") {
   for (const char* fault : {"kind = \"clock\"\npart = 1", "kind = \"calls\"\nshare = 0.1",
                             "kind = \"held_up\"\npart = 1\nhold_ms = 900", "kind = \"calls\"\nshare = 2"}) {
     INFO(fault);
