--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -69,16 +69,16 @@
 
 // How an attempt ended whose command or request was received completely by a server.
 enum class Fate : std::uint8_t {
-  kOpen,        // not ended yet
-  kHit,         // served from the cache server's store
-  kMiss,        // answered EN: no effect
-  kServed,      // answered by the origin: a value, or a receipt of a write
-  kTurnedAway,  // rejected with an answer that says it did not run
-  kFailed,      // answered with an error that leaves open whether it ran
-  kSwallowed,   // accepted and never answered
-  kCut,         // the router closed the connection before the answer
-  kReset,       // the server reset the connection
-  kSpoilt       // answered with garbage or with half of an answer
+  kOpen,            // not ended yet
+  kHit,             // served from the cache server's store
+  kMiss,            // answered EN: no effect
+  kServed,          // answered by the origin: a value, or a receipt of a write
+  kTurnedAway,      // rejected with an answer that says it did not run
+  kFailed,          // answered with an error that leaves open whether it ran
+  kNeverAnswered,   // accepted and never answered
+  kClosedByRouter,  // the router closed the connection before the answer
+  kReset,           // the server reset the connection
+  kMalformed        // answered with garbage or with half of an answer
 };
 inline constexpr std::string_view kFateNames[] = {"open",   "hit",       "miss", "served", "turned away",
                                                   "failed", "swallowed", "cut",  "reset",  "spoilt"};
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -35,7 +35,7 @@
   world_.truth().attempts.push_back(c);
   const std::size_t n = world_.truth().attempts.size() - 1;
   peer.owed.push_back({n, false, {}});
-  if (ailment_.hang) world_.truth().attempts[n].fate = Fate::kSwallowed;
+  if (ailment_.hang) world_.truth().attempts[n].fate = Fate::kNeverAnswered;
   return n;
 }
 
@@ -77,7 +77,7 @@
 
 void Machine::Conclude(Peer& peer, std::size_t n, Fate fate, std::string text) {
   AttemptRecord& c = world_.truth().attempts[n];
-  if (c.fate == Fate::kSwallowed) return;
+  if (c.fate == Fate::kNeverAnswered) return;
   const double draw = Unit(rng_);
   if (draw < ailment_.reset) {
     c.fate = Fate::kReset;
@@ -86,10 +86,10 @@
   }
   c.end = loop().Now();
   if (draw < ailment_.reset + ailment_.half) {
-    c.fate = Fate::kSpoilt;
+    c.fate = Fate::kMalformed;
     Answer(peer, n, text.substr(0, text.size() / 2));
   } else if (draw < ailment_.reset + ailment_.half + ailment_.garbage) {
-    c.fate = Fate::kSpoilt;
+    c.fate = Fate::kMalformed;
     Answer(peer, n, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
     c.fate = fate;
@@ -102,7 +102,7 @@
   for (const Exchange& e : peer.owed) {
     AttemptRecord& c = world_.truth().attempts[e.attempt];
     if (c.end == Time(0)) c.end = loop().Now();
-    if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kCut;
+    if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
     const auto it = by_record_.find(e.attempt);
     if (it == by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -67,7 +67,7 @@
   const bool whole = Chance(rng_, 0.5);
   const std::uint64_t id = peer.id;
   const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (whole ? body : body.substr(0, body.size() / 2));
-  Conclude(peer, record, whole ? Fate::kServed : Fate::kSpoilt, text);
+  Conclude(peer, record, whole ? Fate::kServed : Fate::kMalformed, text);
   AttemptRecord& c = world_.truth().attempts[record];
   c.no_length = whole && c.fate == Fate::kServed;
   EndWhenWritten(id, whole);
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -166,7 +166,7 @@
       {"connection closed while an attempt was open",
        [](Case& c) {
          c.Try(1, 0, 0, 5, TryEnd::kClosed).pooled = true;
-         c.Attempt(1, 1, 2, 4, Fate::kCut);
+         c.Attempt(1, 1, 2, 4, Fate::kClosedByRouter);
        },
        1, Rule::kAnswer},
       {"connection closed on its first command", [](Case& c) { c.Try(1, 0, 0, 5, TryEnd::kClosed); }, 1,
@@ -195,14 +195,14 @@
       {"two attempts at once",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
-         c.Attempt(1, 1, 10, 50, Fate::kCut, 9);
+         c.Attempt(1, 1, 10, 50, Fate::kClosedByRouter, 9);
          c.Attempt(1, 2, 49, 90, Fate::kHit);
        },
        1, Rule::kOnce},
       {"a second attempt while the first is never answered and open",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryEnd::kValue);
-         c.Attempt(1, 1, 10, -1, Fate::kSwallowed, 9);
+         c.Attempt(1, 1, 10, -1, Fate::kNeverAnswered, 9);
          c.Attempt(1, 2, 49, 90, Fate::kHit);
        },
        1, Rule::kOnce},
@@ -239,7 +239,7 @@
          TryRecord& t = c.Try(1, 1, 20, 100, TryEnd::kReceipt);
          t.resent = true;
          t.router = 1;
-         c.Attempt(1, 0, 10, 15, Fate::kCut, 9);
+         c.Attempt(1, 0, 10, 15, Fate::kClosedByRouter, 9);
          c.Attempt(1, 0, 30, 90, Fate::kServed);
        },
        0, Rule::kOnce},
