--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -232,15 +232,15 @@
   }
 
   void JudgeDrains() {
-    std::map<std::pair<int, int>, Time> told;
-    for (const ToldRecord& t : truth_.world.told) {
-      if (t.by_time && !CouldBeReached(t.router, t.at - kToldAfter, t.at)) continue;
-      const auto [it, first] = told.emplace(std::pair(t.router, t.machine), t.at);
+    std::map<std::pair<int, int>, Time> notices;
+    for (const RemovalNotice& t : truth_.world.removal_notices) {
+      if (t.assumed && !CouldBeReached(t.router, t.at - kNoticeAssumedAfter, t.at)) continue;
+      const auto [it, first] = notices.emplace(std::pair(t.router, t.machine), t.at);
       if (!first) it->second = std::min(it->second, t.at);
     }
     for (const AttemptRecord& c : truth_.world.attempts) {
-      const auto it = told.find({c.router, c.machine});
-      if (it == told.end()) continue;
+      const auto it = notices.find({c.router, c.machine});
+      if (it == notices.end()) continue;
       const Duration after = c.first - it->second;
       if (after > truth_.scenario.rules.drain_grace + slack_ + Held(c.router, it->second, c.first)) {
         Add(Rule::kDrain, c.request, c.machine, c.first,
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -98,13 +98,13 @@
 };
 
 // A router was notified that a server is no longer in service; `at` is when all of the entry was written.
-struct ToldRecord {
+struct RemovalNotice {
   int router = 0, machine = 0;
   Time at{0};
-  bool by_time = false;  // nothing was written; the change has been in discovery for kToldAfter
+  bool assumed = false;  // nothing was written; the change has been in discovery for kNoticeAssumedAfter
 };
 // By then a router counts as notified, whether or not discovery's answer reached it.
-constexpr Duration kToldAfter = std::chrono::seconds(6);
+constexpr Duration kNoticeAssumedAfter = std::chrono::seconds(6);
 
 // A connection between a router and a cache server was accepted (`up`) or ended.
 struct LinkRecord {
@@ -123,7 +123,7 @@
 struct WorldTruth {
   std::vector<MachineRecord> machines;  // the origin first
   std::vector<AttemptRecord> attempts;  // in the order in which they were received completely
-  std::vector<ToldRecord> told;
+  std::vector<RemovalNotice> removal_notices;
   std::vector<LinkRecord> links;  // connections to cache servers, in order of time
   std::vector<ListRecord> lists;  // answers of discovery, in order of time
   std::vector<Time> origin_fell;  // when the origin stopped because it was overloaded
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -99,7 +99,7 @@
   const std::string_view written = std::string_view(text).substr(0, half ? text.size() / 2 : text.size());
   if (!half) world_.truth().lists.push_back({peer.router, loop().Now(), false});
   Write(peer, written);
-  NoteTold(peer, since, whole, written);
+  RecordNotices(peer, since, whole, written);
   if (reset) {
     loop().deadlines().Set(loop().Now() + std::chrono::milliseconds(1), [this, id = peer.id] {
       if (Peer* at = FindPeer(id)) Break(*at, true);
@@ -113,7 +113,7 @@
     return WriteNextPiece({peer.id, since, whole, text, 0}, trouble_.pieces / kPieces);
   }
   Write(peer, text);
-  NoteTold(peer, since, whole, text);
+  RecordNotices(peer, since, whole, text);
 }
 
 void Discovery::WriteNextPiece(Outgoing out, Duration apart) {
@@ -122,18 +122,18 @@
   const std::string piece = out.text.substr(out.written, out.text.size() / kPieces + 1);
   out.written += piece.size();
   Write(*peer, piece);
-  NoteTold(*peer, out.since, out.whole, std::string_view(out.text).substr(0, out.written));
+  RecordNotices(*peer, out.since, out.whole, std::string_view(out.text).substr(0, out.written));
   if (out.written >= out.text.size()) return;
   loop().deadlines().Set(loop().Now() + apart, [this, out, apart] { WriteNextPiece(out, apart); });
 }
 
-void Discovery::NoteTold(const Peer& peer, std::int64_t since, bool whole, std::string_view written) {
+void Discovery::RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written) {
   for (std::size_t n = 0; n < entries_.size(); ++n) {
     const Entry& e = entries_[n];
     if (e.state == Listed::kInService || (!whole && e.rev <= since)) continue;
     const std::string entry = lines_[n].before + EndpointOf(lines_[n].port, peer.router) + lines_[n].after;
     if (written.find(entry) == written.npos) continue;
-    world_.truth().told.push_back({peer.router, e.machine, loop().Now(), false});
+    world_.truth().removal_notices.push_back({peer.router, e.machine, loop().Now(), false});
   }
 }
 
--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -67,7 +67,7 @@
   void TakeCall(std::uint64_t id, const HttpRequest& request);
   void Serve(std::uint64_t id, const HttpRequest& request);
   // Records which servers the written part of an answer notifies the router of as leaving service.
-  void NoteTold(const Peer& peer, std::int64_t since, bool whole, std::string_view written);
+  void RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written);
   void Hear(int machine, Listed state);
   void Tell(Peer& peer, std::int64_t since, bool whole);
   // An answer that is written in pieces, and how much of it has been written.
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -140,9 +140,9 @@
 void World::List(int machine, Listed state) {
   for (const auto& discovery : discoveries_) discovery->List(machine, state);
   if (state == Listed::kInService) return;
-  // After kToldAfter each router counts as notified, whatever happened to its calls.
-  const Time told = loop_.Now() + kToldAfter;
-  for (int r = 0; r < routers_; ++r) truth_.told.push_back({r, machine, told, true});
+  // After kNoticeAssumedAfter each router counts as notified, whatever happened to its calls.
+  const Time noticed_at = loop_.Now() + kNoticeAssumedAfter;
+  for (int r = 0; r < routers_; ++r) truth_.removal_notices.push_back({r, machine, noticed_at, true});
 }
 
 void World::Ail(DiscoveryTrouble trouble, const FaultPlan& fault) {
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -292,21 +292,21 @@
        [](Case& c) {
          c.Try(1, 0, 900, 1000, TryEnd::kValue);
          c.Attempt(1, 1, 1040, 1050, Fate::kHit);
-         c.truth.world.told.push_back({0, 1, At(0)});
+         c.truth.world.removal_notices.push_back({0, 1, At(0)});
        },
        0, Rule::kDrain},
       {"sent after the grace period",
        [](Case& c) {
          c.Try(1, 0, 1000, 1200, TryEnd::kValue);
          c.Attempt(1, 1, 1060, 1150, Fate::kHit);
-         c.truth.world.told.push_back({0, 1, At(0)});
+         c.truth.world.removal_notices.push_back({0, 1, At(0)});
        },
        1, Rule::kDrain},
       {"sent by a router that was not notified",
        [](Case& c) {
          c.Try(1, 0, 1000, 1200, TryEnd::kValue);
          c.Attempt(1, 1, 1060, 1150, Fate::kHit);
-         c.truth.world.told.push_back({1, 1, At(0)});
+         c.truth.world.removal_notices.push_back({1, 1, At(0)});
        },
        0, Rule::kDrain},
 
