--- a/lab/load/answer.cpp
+++ b/lab/load/answer.cpp
@@ -47,7 +47,7 @@
   if (head == "SERVER_ERROR") {
     answer.end = NextWord(rest) == "busy" ? TryEnd::kBusy : TryEnd::kFailed;
     if (answer.end == TryEnd::kBusy)
-      answer.busy_for = std::chrono::milliseconds(WholeNumber(rest).value_or(0));
+      answer.retry_after = std::chrono::milliseconds(WholeNumber(rest).value_or(0));
     return Parsed::kDone;
   }
   if (head == "CLIENT_ERROR" || head == "ERROR") {
--- a/lab/load/answer.h
+++ b/lab/load/answer.h
@@ -12,7 +12,7 @@
 
 struct ClientAnswer {
   TryEnd end = TryEnd::kBad;
-  Duration busy_for{0};
+  Duration retry_after{0};
   std::uint32_t serial = 0;
 };
 
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -116,9 +116,9 @@
   t.intent = intent;
   t.number = static_cast<std::uint8_t>(number);
   t.resent = resent;
-  t.wait = std::min(left, Duration(static_cast<std::int64_t>(static_cast<double>(plan.give_up.count()) *
-                                                             scenario_.load.try_share)));
-  t.wait = std::max<Duration>(std::chrono::milliseconds(1), t.wait / 1000000 * 1000000);
+  t.timeout = std::min(left, Duration(static_cast<std::int64_t>(static_cast<double>(plan.give_up.count()) *
+                                                                scenario_.load.try_share)));
+  t.timeout = std::max<Duration>(std::chrono::milliseconds(1), t.timeout / 1000000 * 1000000);
   truth_.tries.push_back(t);
   const auto record = static_cast<long long>(truth_.tries.size() - 1);
   Connection* c = nullptr;
@@ -144,7 +144,7 @@
     return;
   }
   c->record = record;
-  c->deadline = loop_.deadlines().Set(loop_.Now() + t.wait, [this, conn = c->id] {
+  c->deadline = loop_.deadlines().Set(loop_.Now() + t.timeout, [this, conn = c->id] {
     Connection& at = **connections_.Find(conn);
     at.deadline = {};
     Finish(at, TryEnd::kUnreachable);
@@ -204,7 +204,7 @@
   TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
   const Arrival& a = works_[t.intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(t.wait).count();
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(t.timeout).count();
   std::string labels = " O" + IdText(t.id) + " Pc=" + plan.name + ",t=" + scenario_.tenants[a.tenant].name +
                        ",d=" + std::to_string(ms);
   std::string text = (plan.write ? "ms " : "mg ") + KeyName(a.key);
@@ -219,7 +219,7 @@
   t.sent = loop_.Now();
   ++sent_;
   bufferevent_write(c.buffer.get(), text.data(), text.size());
-  const Duration most = t.wait + scenario_.rules.answer_slack + kPatience;
+  const Duration most = t.timeout + scenario_.rules.answer_slack + kPatience;
   c.deadline = loop_.deadlines().Set(t.sent + most, [this, id = c.id] {
     Connection& at = **connections_.Find(id);
     at.deadline = {};
@@ -236,7 +236,7 @@
     if (f.kind != FaultKind::kLeave || !Active(f, t.sent - start_) || !Chance(rng_, f.share)) continue;
     const double part = Unit(rng_) * Unit(rng_);
     const Time at =
-        t.sent + Duration(static_cast<std::int64_t>(static_cast<double>(t.wait.count()) * part));
+        t.sent + Duration(static_cast<std::int64_t>(static_cast<double>(t.timeout.count()) * part));
     (*connections_.Find(c.id))->leaves = loop_.deadlines().Set(at, [this, id = c.id] {
       Connection& leaving = **connections_.Find(id);
       leaving.leaves = {};
@@ -260,7 +260,7 @@
   if (got == Parsed::kMore) return;
   if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(c.buffer.get()), used);
   t.serial = answer.serial;
-  t.busy_for = answer.busy_for;
+  t.retry_after = answer.retry_after;
   Finish(c, got == Parsed::kDone ? answer.end : TryEnd::kBad);
 }
 
@@ -334,7 +334,7 @@
     ++w.tries;
     wait = Duration(static_cast<std::int64_t>(static_cast<double>(scenario_.load.backoff.count()) *
                                               (0.5 + Unit(rng_)) * (1 << std::min(w.tries - 1, 10))));
-    if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, t.busy_for);
+    if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, t.retry_after);
   }
   if (again && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
     loop_.deadlines().Set(now + wait, [this, n = t.intent] { Begin(n); });
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -91,7 +91,7 @@
     std::size_t whole = 0, passed = 0;
     for (const TryRecord& t : truth_.load.tries) {
       for (const AttemptRecord* c : requests_[t.id].attempts) {
-        const Time due = t.sent + t.wait;
+        const Time due = t.sent + t.timeout;
         if (!c->no_length || t.end == TryEnd::kLeft || c->end > std::min(due, t.ended) || Excused(t, due))
           continue;
         ++whole;
@@ -108,7 +108,7 @@
     // Never sent, cut off by the end of an interrupted run, or given up by its client.
     if (t.sent == Time(0) || t.ended == Time(0) || t.end == TryEnd::kLeft) return;
     const Time due =
-        t.sent + t.wait + truth_.scenario.rules.answer_slack + slack_ + Held(t.router, t.sent, t.ended);
+        t.sent + t.timeout + truth_.scenario.rules.answer_slack + slack_ + Held(t.router, t.sent, t.ended);
     if (Excused(t, t.ended)) return;
     switch (t.end) {
       case TryEnd::kOpen:
@@ -135,7 +135,7 @@
     }
     if (t.ended > due) {
       Add(Rule::kAnswer, t.id, -1, t.ended,
-          "answered " + InMs(t.ended - t.sent) + " after it was sent; its deadline is " + InMs(t.wait));
+          "answered " + InMs(t.ended - t.sent) + " after it was sent; its deadline is " + InMs(t.timeout));
     }
     if (Served(t.end)) {
       const bool made = std::any_of(r.attempts.begin(), r.attempts.end(), [&](const AttemptRecord* c) {
@@ -281,7 +281,7 @@
         if (c.machine != kOrigin || c.whole > fell || c.whole <= fell - truth_.scenario.origin.fall)
           continue;
         all += c.work_s;
-        cold += c.cold_miss ? c.work_s : 0;
+        cold += c.after_cold_miss ? c.work_s : 0;
       }
       if (cold > 0.3 * all) {
         Add(Rule::kColdPush, 0, kOrigin, fell,
@@ -318,8 +318,8 @@
     const Intent& intent = truth.load.intents[t.intent];
     out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
         << at(intent.at) << ", try " << int{t.number} + 1 << ", sent " << at(t.sent) << " to router "
-        << t.router << " with a deadline of " << InMs(t.wait) << (t.resent ? " (sent again)" : "") << "; "
-        << kTryNames[static_cast<std::size_t>(t.end)] << " at " << at(t.ended) << "\n";
+        << t.router << " with a deadline of " << InMs(t.timeout) << (t.resent ? " (sent again)" : "")
+        << "; " << kTryNames[static_cast<std::size_t>(t.end)] << " at " << at(t.ended) << "\n";
     from = std::min(from, t.sent);
     until = std::max(until, t.ended);
   }
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -28,7 +28,7 @@
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
   return text;
 }
-inline RequestId ReadId(std::string_view text) {
+inline RequestId ParseId(std::string_view text) {
   if (text.size() != 16) return 0;
   char* end = nullptr;
   const std::string copy(text);
@@ -92,9 +92,9 @@
   bool write = false;
   bool applied = false;    // a write that took effect
   bool no_length = false;  // its answer was complete but stated no length, and ended with an orderly close
-  bool cold_miss = false;  // a fetch for a request that had missed at a cold cache server
-  float work_s = 0;        // work it cost the server, in seconds of a core of speed 1
-  std::uint32_t serial = 0;  // unique number, contained in the value or receipt made for it
+  bool after_cold_miss = false;  // a fetch for a request that had missed at a cold cache server
+  float work_s = 0;              // work it cost the server, in seconds of a core of speed 1
+  std::uint32_t serial = 0;      // unique number, contained in the value or receipt made for it
 };
 
 // A router was notified that a server is no longer in service; `at` is when all of the entry was written.
@@ -158,8 +158,8 @@
   bool pooled = false;  // sent on a connection that had been used before
   Time sent{0};         // when its last byte was handed to the kernel; 0: never
   Time ended{0};
-  Duration wait{0};          // the deadline that it states, counted from `sent`
-  Duration busy_for{0};      // retry delay that a refusal states; 0: none
+  Duration timeout{0};       // the deadline that it states, counted from `sent`
+  Duration retry_after{0};   // retry delay that a refusal states; 0: none
   std::uint32_t serial = 0;  // number in the value or receipt
 };
 
--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -66,7 +66,7 @@
 
 void CacheServer::Take(Peer& peer, const RequestContent& request) {
   const std::size_t request_class = world_.ClassOf(request.labels);
-  const RequestId id = ReadId(request.id);
+  const RequestId id = ParseId(request.id);
   const bool here = !request.write && store_.Use(request.key);
   double work = WorkOf(world_.scenario(), request_class, id, world_.SinceStart()) * (here ? 1 : kMissShare);
   if (std::exchange(peer.fresh, false)) work += plan_.handshake_ms / 1000;
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -29,13 +29,13 @@
       continue;
     }
     const bool write = request.method == "PUT";
-    const RequestId asked = ReadId(request.id);
+    const RequestId asked = ParseId(request.id);
     Rng rng(Mix(asked ^ world_.scenario().seed), static_cast<std::uint64_t>(Stream::kContents));
     const double work =
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
     const std::size_t n = Enter(peer, asked, work, write);
     AttemptRecord& c = world_.truth().attempts[n];
-    c.cold_miss = !write && world_.MissedCold(asked);
+    c.after_cold_miss = !write && world_.MissedCold(asked);
     Pending pending;
     pending.request_class = world_.ClassOf(request.labels);
     EachLabel(request.labels, [&](std::string_view name, std::string_view value) {
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -51,7 +51,7 @@
     t.end = end;
     t.sent = At(sent);
     t.ended = At(ended);
-    t.wait = milliseconds(500);
+    t.timeout = milliseconds(500);
     t.serial = 1;
     truth.load.tries.push_back(t);
     return truth.load.tries.back();
@@ -252,7 +252,7 @@
        0, Rule::kOnce},
       {"a keyed write sent again after its window",
        [](Case& c) {
-         c.Try(1, 2, 0, 400, TryEnd::kReceipt).wait = milliseconds(5000);
+         c.Try(1, 2, 0, 400, TryEnd::kReceipt).timeout = milliseconds(5000);
          c.Attempt(1, 0, 10, 20, Fate::kReset, 9);
          c.Attempt(1, 0, 1100, 1190, Fate::kServed);
        },
@@ -315,7 +315,7 @@
          c.Try(1, 0, 0, 100, TryEnd::kValue);
          AttemptRecord& m = c.Attempt(1, 0, 10, 90, Fate::kServed);
          m.work_s = 1;
-         m.cold_miss = true;
+         m.after_cold_miss = true;
          c.truth.world.origin_fell.push_back(At(20));
        },
        1, Rule::kColdPush},
