--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -13,18 +13,18 @@
 constexpr Duration kSocketSlack = std::chrono::milliseconds(50);
 // A request sent later than this after SIGTERM to its router must have its answer before the router is
 // killed: the kill excuses only requests that were sent earlier.
-constexpr Duration kLateWork = std::chrono::milliseconds(700);
+constexpr Duration kShutdownGrace = std::chrono::milliseconds(700);
 // An attempt must not begin later than this after its client left, as nobody waits for its result.
-constexpr Duration kGone = std::chrono::milliseconds(100);
+constexpr Duration kMaxStartAfterLeave = std::chrono::milliseconds(100);
 // A router counts as notified of a change by elapsed time alone only while at most this share of the calls
-// to discovery fail, and while discovery serves one call of every router within kMostQueue.
-constexpr double kMostFailedCalls = 0.5;
-constexpr Duration kMostQueue = std::chrono::seconds(1);
+// to discovery fail, and while discovery serves one call of every router within kMaxQueueDelay.
+constexpr double kMaxFailedCallShare = 0.5;
+constexpr Duration kMaxQueueDelay = std::chrono::seconds(1);
 // From this many complete answers without a stated length on, at least half must be passed on.
-constexpr std::size_t kEnoughNoLength = 10;
+constexpr std::size_t kMinAnswersWithoutLength = 10;
 
-struct Request {
-  const TryRecord* sent = nullptr;             // the last try under its id
+struct RequestHistory {
+  const TryRecord* last_try = nullptr;         // the last try under its id
   std::vector<const AttemptRecord*> attempts;  // in the order in which they were received completely
 };
 
@@ -33,21 +33,21 @@
 // Whether the attempt may have had an effect, as far as its router could tell.
 bool MayHaveRun(const AttemptRecord& c) { return c.fate != Fate::kTurnedAway && c.fate != Fate::kMiss; }
 
-class Court {
+class RuleChecker {
  public:
-  explicit Court(const Truth& truth)
+  explicit RuleChecker(const Truth& truth)
       : truth_(truth), slack_(kSocketSlack + truth.world.lag + truth.load.late_max) {
-    for (const TryRecord& t : truth.load.tries) requests_[t.id].sent = &t;
+    for (const TryRecord& t : truth.load.tries) requests_[t.id].last_try = &t;
     for (const AttemptRecord& c : truth.world.attempts) requests_[c.request].attempts.push_back(&c);
   }
 
-  std::vector<Breach> Sit() {
-    for (const TryRecord& t : truth_.load.tries) JudgeAnswer(t, requests_[t.id]);
-    for (const TryRecord& t : truth_.load.tries) JudgeGone(t, requests_[t.id]);
-    JudgeNoLength();
-    for (const auto& [id, r] : requests_) JudgeOnce(id, r);
-    JudgeDrains();
-    JudgePushes();
+  std::vector<Breach> Check() {
+    for (const TryRecord& t : truth_.load.tries) CheckAnswer(t, requests_[t.id]);
+    for (const TryRecord& t : truth_.load.tries) CheckAttemptsAfterLeaving(t, requests_[t.id]);
+    CheckAnswersWithoutLength();
+    for (const auto& [id, r] : requests_) CheckAttempts(id, r);
+    CheckDrains();
+    CheckOverload();
     std::sort(breaches_.begin(), breaches_.end(), [](const Breach& a, const Breach& b) {
       return std::pair(a.at, a.request) < std::pair(b.at, b.request);
     });
@@ -60,15 +60,15 @@
   }
 
   // Whether an injected fault took the try's router down while the try was open.
-  bool Excused(const TryRecord& t, Time until) const {
+  bool RouterWasDown(const TryRecord& t, Time until) const {
     return std::any_of(truth_.absences.begin(), truth_.absences.end(), [&](const Absence& a) {
-      const bool late = a.asked != Time(0) && t.sent > a.asked + kLateWork && t.sent < a.from;
+      const bool late = a.asked != Time(0) && t.sent > a.asked + kShutdownGrace && t.sent < a.from;
       return !late && a.router == t.router && t.sent <= a.until && until >= a.from;
     });
   }
 
   // For how long the router's process was suspended within that time.
-  Duration Held(int router, Time from, Time until) const {
+  Duration SuspendedFor(int router, Time from, Time until) const {
     Duration all{0};
     for (const Hold& h : truth_.holds) {
       if (h.router != router) continue;
@@ -77,39 +77,40 @@
     return all;
   }
 
-  void JudgeGone(const TryRecord& t, const Request& r) {
+  void CheckAttemptsAfterLeaving(const TryRecord& t, const RequestHistory& r) {
     if (t.end != TryEnd::kLeft) return;
     for (const AttemptRecord* c : r.attempts) {
       const Duration after = c->first - t.ended;
-      if (after <= kGone + slack_ + Held(t.router, t.ended, c->first)) continue;
+      if (after <= kMaxStartAfterLeave + slack_ + SuspendedFor(t.router, t.ended, c->first)) continue;
       Add(Rule::kAnswer, t.id, c->machine, c->first,
           "an attempt began " + InMs(after) + " after its client left");
     }
   }
 
-  void JudgeNoLength() {
+  void CheckAnswersWithoutLength() {
     std::size_t whole = 0, passed = 0;
     for (const TryRecord& t : truth_.load.tries) {
       for (const AttemptRecord* c : requests_[t.id].attempts) {
         const Time due = t.sent + t.timeout;
-        if (!c->no_length || t.end == TryEnd::kLeft || c->end > std::min(due, t.ended) || Excused(t, due))
+        if (!c->no_length || t.end == TryEnd::kLeft || c->end > std::min(due, t.ended) ||
+            RouterWasDown(t, due))
           continue;
         ++whole;
         passed += Served(t.end) && c->serial == t.serial;
       }
     }
-    if (whole < kEnoughNoLength || 2 * passed >= whole) return;
+    if (whole < kMinAnswersWithoutLength || 2 * passed >= whole) return;
     Add(Rule::kAnswer, 0, kOrigin, truth_.start,
         "of " + std::to_string(whole) + " complete answers without a stated length only " +
             std::to_string(passed) + " were passed on");
   }
 
-  void JudgeAnswer(const TryRecord& t, const Request& r) {
+  void CheckAnswer(const TryRecord& t, const RequestHistory& r) {
     // Never sent, cut off by the end of an interrupted run, or given up by its client.
     if (t.sent == Time(0) || t.ended == Time(0) || t.end == TryEnd::kLeft) return;
-    const Time due =
-        t.sent + t.timeout + truth_.scenario.rules.answer_slack + slack_ + Held(t.router, t.sent, t.ended);
-    if (Excused(t, t.ended)) return;
+    const Time due = t.sent + t.timeout + truth_.scenario.rules.answer_slack + slack_ +
+                     SuspendedFor(t.router, t.sent, t.ended);
+    if (RouterWasDown(t, t.ended)) return;
     switch (t.end) {
       case TryEnd::kOpen:
         return Add(Rule::kAnswer, t.id, -1, due, "no answer until its client gave up");
@@ -145,54 +146,56 @@
     }
   }
 
-  void JudgeOnce(RequestId id, const Request& r) {
-    if (r.sent == nullptr) {
+  void CheckAttempts(RequestId id, const RequestHistory& r) {
+    if (r.last_try == nullptr) {
       for (const AttemptRecord* c : r.attempts) {
         Add(Rule::kOnce, id, c->machine, c->whole, "an attempt without a client's request");
       }
       return;
     }
-    const ClassPlan& plan = truth_.scenario.classes[truth_.load.intents[r.sent->intent].request_class];
+    const ClassPlan& plan = truth_.scenario.classes[truth_.load.intents[r.last_try->intent].request_class];
     // A request that its client sent again is a new request to the router that receives it.
-    const auto again = std::count_if(r.attempts.begin(), r.attempts.end(), [&r](const AttemptRecord* c) {
-      return r.sent->resent && c->whole >= r.sent->sent;
-    });
-    const auto most = std::max<std::ptrdiff_t>(again, std::ssize(r.attempts) - again);
-    if (most > truth_.scenario.rules.max_attempts) {
+    const auto resent_attempts = std::count_if(
+        r.attempts.begin(), r.attempts.end(),
+        [&r](const AttemptRecord* c) { return r.last_try->resent && c->whole >= r.last_try->sent; });
+    const auto attempts =
+        std::max<std::ptrdiff_t>(resent_attempts, std::ssize(r.attempts) - resent_attempts);
+    if (attempts > truth_.scenario.rules.max_attempts) {
       Add(Rule::kOnce, id, r.attempts.back()->machine, r.attempts.back()->whole,
-          std::to_string(most) + " attempts");
+          std::to_string(attempts) + " attempts");
     }
     Time first_run{0};
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
       const AttemptRecord& c = *r.attempts[i];
       // When its connection closes and the client sends the request again, the repeat is the client's.
-      const bool by_client = r.sent->resent && c.whole >= r.sent->sent;
-      if (by_client && i > 0 && r.attempts[i - 1]->whole < r.sent->sent) first_run = Time(0);
+      const bool by_client = r.last_try->resent && c.whole >= r.last_try->sent;
+      if (by_client && i > 0 && r.attempts[i - 1]->whole < r.last_try->sent) first_run = Time(0);
       for (std::size_t j = 0; j < i; ++j) {
         const AttemptRecord& earlier = *r.attempts[j];
-        if (by_client && earlier.whole < r.sent->sent) continue;
+        if (by_client && earlier.whole < r.last_try->sent) continue;
         if (earlier.end == Time(0) || earlier.end > c.whole) {
           Add(Rule::kOnce, id, c.machine, c.whole,
-              "a second attempt while the one at " + Name(earlier.machine) + " was open");
+              "a second attempt while the one at " + Uid(earlier.machine) + " was open");
         }
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
           Add(Rule::kOnce, id, c.machine, c.whole, "a write that may have run was sent again");
-        } else if (c.whole > first_run + plan.window + slack_ + Held(c.router, first_run, c.whole)) {
+        } else if (c.whole >
+                   first_run + plan.window + slack_ + SuspendedFor(c.router, first_run, c.whole)) {
           Add(Rule::kOnce, id, c.machine, c.whole, "a keyed write was sent again after its window");
         }
       }
       if (first_run == Time(0) && MayHaveRun(c)) first_run = c.whole;
     }
-    if (plan.repeats == Repeats::kNever && first_run != Time(0) && r.sent->end == TryEnd::kBusy) {
-      Add(Rule::kOnce, id, -1, r.sent->ended, "refused as not run, although it may have run");
+    if (plan.repeats == Repeats::kNever && first_run != Time(0) && r.last_try->end == TryEnd::kBusy) {
+      Add(Rule::kOnce, id, -1, r.last_try->ended, "refused as not run, although it may have run");
     }
   }
 
   // Whether the router can be expected to have received a list in that time: it was up throughout, with one
   // configuration, and no fault of discovery made most calls fail.
-  bool CouldBeReached(int router, Time from, Time until) const {
+  bool CouldReceiveList(int router, Time from, Time until) const {
     const auto within = [&](Time at) { return at > from && at < until; };
     for (const Absence& a : truth_.absences) {
       if (a.router == router && a.from < until && a.until > from) return false;
@@ -203,11 +206,11 @@
     return std::none_of(truth_.scenario.faults.begin(), truth_.scenario.faults.end(),
                         [&](const FaultPlan& f) {
                           const Time begun = truth_.start + f.at;
-                          return KeepsFromDiscovery(f) && begun < until && begun + f.length > from;
+                          return BlocksDiscovery(f) && begun < until && begun + f.length > from;
                         });
   }
 
-  bool KeepsFromDiscovery(const FaultPlan& f) const {
+  bool BlocksDiscovery(const FaultPlan& f) const {
     switch (f.kind) {
       case FaultKind::kDiscovery:
       case FaultKind::kListSlow:
@@ -218,23 +221,23 @@
       case FaultKind::kListQueue: {
         const auto& s = truth_.scenario;
         const auto routers = s.routers.per_hall * static_cast<std::int64_t>(s.halls.size());
-        return f.delay * routers > kMostQueue;
+        return f.delay * routers > kMaxQueueDelay;
       }
       case FaultKind::kListHalf:
       case FaultKind::kListReset:
       case FaultKind::kListDeaf:
       case FaultKind::kListBusy:
       case FaultKind::kListOld:
-        return f.share > kMostFailedCalls;
+        return f.share > kMaxFailedCallShare;
       default:
         return false;
     }
   }
 
-  void JudgeDrains() {
+  void CheckDrains() {
     std::map<std::pair<int, int>, Time> notices;
     for (const RemovalNotice& t : truth_.world.removal_notices) {
-      if (t.assumed && !CouldBeReached(t.router, t.at - kNoticeAssumedAfter, t.at)) continue;
+      if (t.assumed && !CouldReceiveList(t.router, t.at - kNoticeAssumedAfter, t.at)) continue;
       const auto [it, first] = notices.emplace(std::pair(t.router, t.machine), t.at);
       if (!first) it->second = std::min(it->second, t.at);
     }
@@ -242,37 +245,38 @@
       const auto it = notices.find({c.router, c.machine});
       if (it == notices.end()) continue;
       const Duration after = c.first - it->second;
-      if (after > truth_.scenario.rules.drain_grace + slack_ + Held(c.router, it->second, c.first)) {
+      if (after >
+          truth_.scenario.rules.drain_grace + slack_ + SuspendedFor(c.router, it->second, c.first)) {
         Add(Rule::kDrain, c.request, c.machine, c.first,
-            "sent to " + Name(c.machine) + " " + InMs(after) +
+            "sent to " + Uid(c.machine) + " " + InMs(after) +
                 " after its router was notified that it leaves service");
       }
     }
   }
 
-  void JudgePushes() {
-    double most = 0;
-    for (const ClassPlan& c : truth_.scenario.classes) most = std::max(most, c.work_ms / 1000);
+  void CheckOverload() {
+    double max_work_s = 0;
+    for (const ClassPlan& c : truth_.scenario.classes) max_work_s = std::max(max_work_s, c.work_ms / 1000);
     const RulePlan& rules = truth_.scenario.rules;
     std::vector<PushMeter> meters(truth_.world.machines.size(),
-                                  PushMeter(rules.fall_multiple, rules.fall, 4 * most));
-    std::vector<bool> pushed(meters.size());
-    std::vector<Time> lives(meters.size());  // the start of the process that each meter counts for
+                                  PushMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
+    std::vector<bool> overloaded(meters.size());
+    std::vector<Time> counted_start(meters.size());  // the start of the process that each meter counts for
     for (const AttemptRecord& c : truth_.world.attempts) {
       const auto n = static_cast<std::size_t>(c.machine);
       const MachineRecord& m = truth_.world.machines[n];
-      if (c.machine == kOrigin || pushed[n]) continue;
+      if (c.machine == kOrigin || overloaded[n]) continue;
       const Capacity then = m.CapacityAt(c.whole);
       if (!then.Cold(c.whole)) continue;
-      if (then.started != lives[n]) {
-        meters[n] = PushMeter(rules.fall_multiple, rules.fall, 4 * most);
-        lives[n] = then.started;
+      if (then.started != counted_start[n]) {
+        meters[n] = PushMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
+        counted_start[n] = then.started;
       }
       const double full = meters[n].Add(c.whole, c.work_s, then.At(c.whole));
       if (full <= 1) continue;
-      pushed[n] = true;
+      overloaded[n] = true;
       Add(Rule::kColdPush, c.request, c.machine, c.whole,
-          Name(c.machine) + ", " + InMs(c.whole - then.started) + " after its start, was sent more than " +
+          Uid(c.machine) + ", " + InMs(c.whole - then.started) + " after its start, was sent more than " +
               std::to_string(rules.fall_multiple).substr(0, 4) + " times its capacity");
     }
     for (const Time fell : truth_.world.origin_fell) {
@@ -290,19 +294,19 @@
     }
   }
 
-  std::string Name(int machine) const {
+  std::string Uid(int machine) const {
     return truth_.world.machines[static_cast<std::size_t>(machine)].uid;
   }
 
   const Truth& truth_;
   Duration slack_;
-  std::unordered_map<RequestId, Request> requests_;
+  std::unordered_map<RequestId, RequestHistory> requests_;
   std::vector<Breach> breaches_;
 };
 
 }  // namespace
 
-std::vector<Breach> Judge(const Truth& truth) { return Court(truth).Sit(); }
+std::vector<Breach> Judge(const Truth& truth) { return RuleChecker(truth).Check(); }
 
 std::string Story(const Truth& truth, const Breach& breach) {
   std::ostringstream out;
