--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -258,8 +258,8 @@
     double max_work_s = 0;
     for (const ClassPlan& c : truth_.scenario.classes) max_work_s = std::max(max_work_s, c.work_ms / 1000);
     const RulePlan& rules = truth_.scenario.rules;
-    std::vector<PushMeter> meters(truth_.world.machines.size(),
-                                  PushMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
+    std::vector<OverloadMeter> meters(truth_.world.machines.size(),
+                                      OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
     std::vector<bool> overloaded(meters.size());
     std::vector<Time> counted_start(meters.size());  // the start of the process that each meter counts for
     for (const AttemptRecord& c : truth_.world.attempts) {
@@ -269,7 +269,7 @@
       const Capacity then = m.CapacityAt(c.whole);
       if (!then.Cold(c.whole)) continue;
       if (then.started != counted_start[n]) {
-        meters[n] = PushMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
+        meters[n] = OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
         counted_start[n] = then.started;
       }
       const double full = meters[n].Add(c.whole, c.work_s, then.At(c.whole));
--- a/lab/truth/push_meter.h
+++ b/lab/truth/push_meter.h
@@ -20,37 +20,38 @@
   Duration ramp{0};
   double At(Time now) const {
     if (started == Time(0) || ramp <= Duration(0) || now >= started + ramp) return full;
-    const double grown = static_cast<double>((now - started).count()) / static_cast<double>(ramp.count());
-    return full * (cold_from + (1 - cold_from) * std::max(0.0, grown));
+    const double ramp_share =
+        static_cast<double>((now - started).count()) / static_cast<double>(ramp.count());
+    return full * (cold_from + (1 - cold_from) * std::max(0.0, ramp_share));
   }
   bool Cold(Time now) const { return started != Time(0) && now < started + ramp; }
 };
 
-// A work budget for a sliding window of length `fall`: `multiple` times the present capacity times the
+// A work budget for a sliding window of length `window`: `multiple` times the present capacity times the
 // window, plus a little slack for random variation.
-class PushMeter {
+class OverloadMeter {
  public:
-  PushMeter(double multiple, Duration fall, double slack_s)
-      : multiple_(multiple), fall_(fall), slack_(slack_s) {}
+  OverloadMeter(double multiple, Duration window, double slack_s)
+      : multiple_(multiple), window_(window), slack_s_(slack_s) {}
   // Adds work, in seconds of a core of speed 1; to be called in order of arrival. Returns the used share of
   // the budget; above 1 the server is overloaded.
   double Add(Time at, double work_s, double capacity) {
     sent_.emplace_back(at, work_s);
-    sum_ += work_s;
-    while (sent_.front().first <= at - fall_) {
-      sum_ -= sent_.front().second;
+    window_work_s_ += work_s;
+    while (sent_.front().first <= at - window_) {
+      window_work_s_ -= sent_.front().second;
       sent_.pop_front();
     }
-    const double window = static_cast<double>(fall_.count()) / 1e9;
-    const double budget = multiple_ * capacity * window + slack_;
-    return multiple_ <= 0 || budget <= 0 ? 0 : sum_ / budget;
+    const double window_s = static_cast<double>(window_.count()) / 1e9;
+    const double budget = multiple_ * capacity * window_s + slack_s_;
+    return multiple_ <= 0 || budget <= 0 ? 0 : window_work_s_ / budget;
   }
 
  private:
   double multiple_;
-  Duration fall_;
-  double slack_;
-  double sum_ = 0;
+  Duration window_;
+  double slack_s_;
+  double window_work_s_ = 0;
   std::deque<std::pair<Time, double>> sent_;
 };
 
--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -25,7 +25,7 @@
   me.capacity.started = loop().Now();
   me.starts.push_back(me.capacity.started);
   me.fell = false;
-  meter_ = PushMeter(world_.scenario().rules.fall_multiple, world_.scenario().rules.fall, 0.2);
+  meter_ = OverloadMeter(world_.scenario().rules.fall_multiple, world_.scenario().rules.fall, 0.2);
   record().gone = Time(0);
   alive_ = true;
   SetLinks(Link::kUp);
--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -29,7 +29,7 @@
 
   NodePlan plan_;
   KeyStore store_;
-  PushMeter meter_;
+  OverloadMeter meter_;
   bool alive_ = true, leaving_ = false;
 };
 
--- a/lab/world/origin.h
+++ b/lab/world/origin.h
@@ -21,7 +21,7 @@
   void Worked(Peer& peer, const Attempt& attempt) override;
 
   OriginPlan plan_;
-  PushMeter meter_;
+  OverloadMeter meter_;
   Time down_until_{0};
   struct Pending {
     std::string write_key;
