--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -12,11 +12,11 @@
           MakeRng(Mix(world.scenario().seed * 4099 + static_cast<std::uint64_t>(number)), Stream::kFaults)),
       number_(number),
       core_speed_(core_speed),
-      station_(cores, waiting) {}
+      work_queue_(cores, waiting) {}
 
 void Machine::SetCores(int cores) {
-  station_.SetCores(std::max(1, cores));
-  while (const auto next = station_.Next()) Begin(*next);
+  work_queue_.SetCores(std::max(1, cores));
+  while (const auto next = work_queue_.StartNext()) Begin(*next);
 }
 
 MachineRecord& Machine::record() { return world_.truth().machines[static_cast<std::size_t>(number_)]; }
@@ -40,15 +40,15 @@
 }
 
 bool Machine::Work(Peer& peer, std::size_t n, double work_s, std::string key) {
-  const Station::Token token = attempts_.Add({peer.id, n, work_s, std::move(key), {}});
+  const WorkQueue::Token token = attempts_.Add({peer.id, n, work_s, std::move(key), {}});
   by_record_.emplace(n, token);
-  switch (station_.Take(token)) {
-    case Station::Took::kStarted:
+  switch (work_queue_.Submit(token)) {
+    case WorkQueue::Admission::kStarted:
       Begin(token);
       return true;
-    case Station::Took::kWaits:
+    case WorkQueue::Admission::kQueued:
       return true;
-    case Station::Took::kFull:
+    case WorkQueue::Admission::kFull:
       break;
   }
   by_record_.erase(n);
@@ -56,7 +56,7 @@
   return false;
 }
 
-void Machine::Begin(Station::Token token) {
+void Machine::Begin(WorkQueue::Token token) {
   Attempt& attempt = *attempts_.Find(token);
   const Capacity& capacity = record().capacity;
   const Time now = loop().Now();
@@ -67,11 +67,11 @@
   attempt.deadline = loop().deadlines().Set(now + takes, [this, token] { Done(token); });
 }
 
-void Machine::Done(Station::Token token) {
+void Machine::Done(WorkQueue::Token token) {
   const Attempt attempt = *attempts_.Find(token);
   attempts_.Remove(token);
   by_record_.erase(attempt.record);
-  if (const auto next = station_.End(token)) Begin(*next);
+  if (const auto next = work_queue_.Finish(token)) Begin(*next);
   if (Peer* peer = FindPeer(attempt.peer)) Worked(*peer, attempt);
 }
 
@@ -106,11 +106,11 @@
     const auto it = by_record_.find(e.attempt);
     if (it == by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
-    const Station::Token token = it->second;
+    const WorkQueue::Token token = it->second;
     loop().deadlines().Drop(attempts_.Find(token)->deadline);
     attempts_.Remove(token);
     by_record_.erase(it);
-    if (const auto next = station_.End(token)) Begin(*next);
+    if (const auto next = work_queue_.Finish(token)) Begin(*next);
   }
 }
 
--- a/lab/world/machine.h
+++ b/lab/world/machine.h
@@ -63,14 +63,14 @@
   Rng rng_;
 
  private:
-  void Begin(Station::Token token);
-  void Done(Station::Token token);
+  void Begin(WorkQueue::Token token);
+  void Done(WorkQueue::Token token);
 
   int number_;
   double core_speed_;
-  Station station_;
+  WorkQueue work_queue_;
   Slots<Attempt> attempts_;
-  std::unordered_map<std::size_t, Station::Token> by_record_;
+  std::unordered_map<std::size_t, WorkQueue::Token> by_record_;
 };
 
 }  // namespace brasswood::lab
--- a/lab/world/station.h
+++ b/lab/world/station.h
@@ -11,36 +11,36 @@
 
 namespace brasswood::lab {
 
-class Station {
+class WorkQueue {
  public:
   using Token = std::uint64_t;
-  enum class Took { kStarted, kWaits, kFull };
+  enum class Admission { kStarted, kQueued, kFull };
 
-  Station(int cores, int waiting)
-      : cores_(static_cast<std::size_t>(cores)), room_(static_cast<std::size_t>(waiting)) {}
+  WorkQueue(int cores, int waiting)
+      : cores_(static_cast<std::size_t>(cores)), queue_limit_(static_cast<std::size_t>(waiting)) {}
 
-  Took Take(Token token) {
+  Admission Submit(Token token) {
     if (running_.size() < cores_) {
       running_.insert(token);
-      return Took::kStarted;
+      return Admission::kStarted;
     }
-    if (waiting_.size() >= room_) return Took::kFull;
+    if (waiting_.size() >= queue_limit_) return Admission::kFull;
     waiting_.push_back(token);
-    return Took::kWaits;
+    return Admission::kQueued;
   }
   // The request is finished or cancelled. Returns the queued request that starts in its place, if any.
-  std::optional<Token> End(Token token) {
+  std::optional<Token> Finish(Token token) {
     if (running_.erase(token) == 0) {
       const auto it = std::find(waiting_.begin(), waiting_.end(), token);
       if (it != waiting_.end()) waiting_.erase(it);
       return std::nullopt;
     }
-    return Next();
+    return StartNext();
   }
   // Changes the number of cores. Running requests go on; queued ones start as cores become free.
   void SetCores(int cores) { cores_ = static_cast<std::size_t>(cores); }
   // Starts the next queued request, if there is one and a core is free for it, and returns it.
-  std::optional<Token> Next() {
+  std::optional<Token> StartNext() {
     if (waiting_.empty() || running_.size() >= cores_) return std::nullopt;
     const Token next = waiting_.front();
     waiting_.pop_front();
@@ -51,7 +51,7 @@
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
-  std::size_t cores_, room_;
+  std::size_t cores_, queue_limit_;
   std::unordered_set<Token> running_;
   std::deque<Token> waiting_;
 };
--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -203,15 +203,15 @@
 }
 
 TEST_CASE("a work queue starts, queues and rejects requests, and a cancelled one frees its place") {
-  Station s(1, 1);
-  CHECK(s.Take(1) == Station::Took::kStarted);
-  CHECK(s.Take(2) == Station::Took::kWaits);
-  CHECK(s.Take(3) == Station::Took::kFull);
-  CHECK_FALSE(s.End(2));  // was only queued: no core becomes free
-  CHECK(s.Take(4) == Station::Took::kWaits);
-  CHECK(s.End(1) == std::optional<Station::Token>(4));
-  CHECK_FALSE(s.End(4));
-  CHECK(s.running() == 0);
+  WorkQueue queue(1, 1);
+  CHECK(queue.Submit(1) == WorkQueue::Admission::kStarted);
+  CHECK(queue.Submit(2) == WorkQueue::Admission::kQueued);
+  CHECK(queue.Submit(3) == WorkQueue::Admission::kFull);
+  CHECK_FALSE(queue.Finish(2));  // was only queued: no core becomes free
+  CHECK(queue.Submit(4) == WorkQueue::Admission::kQueued);
+  CHECK(queue.Finish(1) == std::optional<WorkQueue::Token>(4));
+  CHECK_FALSE(queue.Finish(4));
+  CHECK(queue.running() == 0);
 }
 
 TEST_CASE("a latency histogram's percentiles are exact to within one bin") {
