--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -13,27 +13,27 @@
 }  // namespace
 
 CacheServer::CacheServer(World& world, int number, const NodePlan& plan)
-    : Machine(world, number, plan.cores, plan.speed, plan.waiting),
+    : BackendServer(world, number, plan.cores, plan.speed, plan.waiting),
       plan_(plan),
       store_(plan.memory_mb * kMegabyte),
       meter_(world.scenario().rules.fall_multiple, world.scenario().rules.fall, 0.2) {}
 
 void CacheServer::Restart() {
   store_.Clear();
-  MachineRecord& me = record();
-  if (me.starts.empty()) me.first_started = me.capacity.started;
-  me.capacity.started = loop().Now();
-  me.starts.push_back(me.capacity.started);
-  me.fell = false;
+  MachineRecord& self = server_record();
+  if (self.starts.empty()) self.first_started = self.capacity.started;
+  self.capacity.started = loop().Now();
+  self.starts.push_back(self.capacity.started);
+  self.fell = false;
   meter_ = OverloadMeter(world_.scenario().rules.fall_multiple, world_.scenario().rules.fall, 0.2);
-  record().gone = Time(0);
+  server_record().gone = Time(0);
   alive_ = true;
   SetLinks(Link::kUp);
 }
 
-void CacheServer::Die() {
+void CacheServer::Kill() {
   alive_ = false;
-  record().gone = loop().Now();
+  server_record().gone = loop().Now();
   SetLinks(Link::kRefused);
 }
 
@@ -53,44 +53,45 @@
     if (got == Parsed::kBad) return Break(peer, false);
     evbuffer_drain(bufferevent_get_input(peer.buffer.get()), used);
     if (command.verb == Verb::kRequest) {
-      Take(peer, command.content);
-    } else if (ailment().hang) {
+      HandleRequest(peer, command.content);
+    } else if (faults().hang) {
       continue;
     } else if (command.verb == Verb::kNoop) {
-      Write(peer, leaving_ ? "SERVER_ERROR busy\r\n" : "MN\r\n");
+      Write(peer, rejecting_ ? "SERVER_ERROR busy\r\n" : "MN\r\n");
     } else {
       Write(peer, "ERROR\r\n");
     }
   }
 }
 
-void CacheServer::Take(Peer& peer, const RequestContent& request) {
+void CacheServer::HandleRequest(Peer& peer, const RequestContent& request) {
   const std::size_t request_class = world_.ClassOf(request.labels);
   const RequestId id = ParseId(request.id);
-  const bool here = !request.write && store_.Use(request.key);
-  double work = WorkOf(world_.scenario(), request_class, id, world_.SinceStart()) * (here ? 1 : kMissShare);
+  const bool stored = !request.write && store_.Use(request.key);
+  double work =
+      WorkOf(world_.scenario(), request_class, id, world_.SinceStart()) * (stored ? 1 : kMissShare);
   if (std::exchange(peer.fresh, false)) work += plan_.handshake_ms / 1000;
-  const std::size_t n = Enter(peer, id, work, request.write);
-  if (ailment().hang) return;
-  MachineRecord& me = record();
+  const std::size_t n = RecordAttempt(peer, id, work, request.write);
+  if (faults().hang) return;
+  MachineRecord& self = server_record();
   const Time now = loop().Now();
-  if (me.capacity.Cold(now) && meter_.Add(now, work, me.capacity.At(now)) > 1) me.fell = true;
-  const bool refused = leaving_ || me.fell || peer.surplus;
-  if (refused || !Work(peer, n, work, here ? request.key : std::string())) {
-    Conclude(peer, n, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
+  if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.fell = true;
+  const bool refused = rejecting_ || self.fell || peer.surplus;
+  if (refused || !Enqueue(peer, n, work, stored ? request.key : std::string())) {
+    FinishAttempt(peer, n, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
   }
 }
 
-void CacheServer::Worked(Peer& peer, const Attempt& attempt) {
+void CacheServer::OnWorkDone(Peer& peer, const Attempt& attempt) {
   const AttemptRecord& c = world_.truth().attempts[attempt.record];
   const std::string id = IdText(c.request);
   if (attempt.key.empty()) {
     world_.Missed(c.request, number());
-    return Conclude(peer, attempt.record, Fate::kMiss, "EN O" + id + "\r\n");
+    return FinishAttempt(peer, attempt.record, Fate::kMiss, "EN O" + id + "\r\n");
   }
   const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
-  Conclude(peer, attempt.record, Fate::kHit,
-           "VA " + std::to_string(value.size()) + " O" + id + "\r\n" + value + "\r\n");
+  FinishAttempt(peer, attempt.record, Fate::kHit,
+                "VA " + std::to_string(value.size()) + " O" + id + "\r\n" + value + "\r\n");
 }
 
 }  // namespace brasswood::lab
--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -9,7 +9,7 @@
 
 namespace brasswood::lab {
 
-class CacheServer : public Machine {
+class CacheServer : public BackendServer {
  public:
   CacheServer(World& world, int number, const NodePlan& plan);
   KeyStore& store() { return store_; }
@@ -17,20 +17,20 @@
   // Starts its process again at the same addresses, cold and with an empty store.
   void Restart();
   bool alive() const { return alive_; }
-  void Die();
+  void Kill();
   // From now on it rejects every request as busy.
-  void Retire() { leaving_ = true; }
+  void RejectAll() { rejecting_ = true; }
 
  private:
   void OnPeer(Peer& peer) override;
   void OnBytes(Peer& peer) override;
-  void Worked(Peer& peer, const Attempt& attempt) override;
-  void Take(Peer& peer, const RequestContent& request);
+  void OnWorkDone(Peer& peer, const Attempt& attempt) override;
+  void HandleRequest(Peer& peer, const RequestContent& request);
 
   NodePlan plan_;
   KeyStore store_;
   OverloadMeter meter_;
-  bool alive_ = true, leaving_ = false;
+  bool alive_ = true, rejecting_ = false;
 };
 
 }  // namespace brasswood::lab
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -4,7 +4,7 @@
 
 namespace brasswood::lab {
 
-Machine::Machine(World& world, int number, int cores, double core_speed, int waiting)
+BackendServer::BackendServer(World& world, int number, int cores, double core_speed, int waiting)
     : Server(world.loop(), world.routers(),
              Mix(world.scenario().seed * 8191 + static_cast<std::uint64_t>(number))),
       world_(world),
@@ -14,14 +14,16 @@
       core_speed_(core_speed),
       work_queue_(cores, waiting) {}
 
-void Machine::SetCores(int cores) {
+void BackendServer::SetCores(int cores) {
   work_queue_.SetCores(std::max(1, cores));
-  while (const auto next = work_queue_.StartNext()) Begin(*next);
+  while (const auto next = work_queue_.StartNext()) StartWork(*next);
 }
 
-MachineRecord& Machine::record() { return world_.truth().machines[static_cast<std::size_t>(number_)]; }
+MachineRecord& BackendServer::server_record() {
+  return world_.truth().machines[static_cast<std::size_t>(number_)];
+}
 
-std::size_t Machine::Enter(Peer& peer, RequestId id, double work_s, bool write) {
+std::size_t BackendServer::RecordAttempt(Peer& peer, RequestId id, double work_s, bool write) {
   world_.AttemptBegun(id, *this, peer.id);
   AttemptRecord c;
   c.request = id;
@@ -35,60 +37,60 @@
   world_.truth().attempts.push_back(c);
   const std::size_t n = world_.truth().attempts.size() - 1;
   peer.owed.push_back({n, false, {}});
-  if (ailment_.hang) world_.truth().attempts[n].fate = Fate::kNeverAnswered;
+  if (faults_.hang) world_.truth().attempts[n].fate = Fate::kNeverAnswered;
   return n;
 }
 
-bool Machine::Work(Peer& peer, std::size_t n, double work_s, std::string key) {
+bool BackendServer::Enqueue(Peer& peer, std::size_t n, double work_s, std::string key) {
   const WorkQueue::Token token = attempts_.Add({peer.id, n, work_s, std::move(key), {}});
-  by_record_.emplace(n, token);
+  active_by_record_.emplace(n, token);
   switch (work_queue_.Submit(token)) {
     case WorkQueue::Admission::kStarted:
-      Begin(token);
+      StartWork(token);
       return true;
     case WorkQueue::Admission::kQueued:
       return true;
     case WorkQueue::Admission::kFull:
       break;
   }
-  by_record_.erase(n);
+  active_by_record_.erase(n);
   attempts_.Remove(token);
   return false;
 }
 
-void Machine::Begin(WorkQueue::Token token) {
+void BackendServer::StartWork(WorkQueue::Token token) {
   Attempt& attempt = *attempts_.Find(token);
-  const Capacity& capacity = record().capacity;
+  const Capacity& capacity = server_record().capacity;
   const Time now = loop().Now();
-  const double speed = core_speed_ * ailment_.speed * capacity.At(now) / capacity.full;
+  const double speed = core_speed_ * faults_.speed * capacity.At(now) / capacity.full;
   const auto takes = Duration(static_cast<std::int64_t>(attempt.work_s / std::max(speed, 1e-6) * 1e9));
   // Below the resolution of a timer.
-  if (takes < std::chrono::microseconds(20)) return Done(token);
-  attempt.deadline = loop().deadlines().Set(now + takes, [this, token] { Done(token); });
+  if (takes < std::chrono::microseconds(20)) return FinishWork(token);
+  attempt.deadline = loop().deadlines().Set(now + takes, [this, token] { FinishWork(token); });
 }
 
-void Machine::Done(WorkQueue::Token token) {
+void BackendServer::FinishWork(WorkQueue::Token token) {
   const Attempt attempt = *attempts_.Find(token);
   attempts_.Remove(token);
-  by_record_.erase(attempt.record);
-  if (const auto next = work_queue_.Finish(token)) Begin(*next);
-  if (Peer* peer = FindPeer(attempt.peer)) Worked(*peer, attempt);
+  active_by_record_.erase(attempt.record);
+  if (const auto next = work_queue_.Finish(token)) StartWork(*next);
+  if (Peer* peer = FindPeer(attempt.peer)) OnWorkDone(*peer, attempt);
 }
 
-void Machine::Conclude(Peer& peer, std::size_t n, Fate fate, std::string text) {
+void BackendServer::FinishAttempt(Peer& peer, std::size_t n, Fate fate, std::string text) {
   AttemptRecord& c = world_.truth().attempts[n];
   if (c.fate == Fate::kNeverAnswered) return;
   const double draw = Unit(rng_);
-  if (draw < ailment_.reset) {
+  if (draw < faults_.reset) {
     c.fate = Fate::kReset;
     c.end = loop().Now();
     return Break(peer, true);
   }
   c.end = loop().Now();
-  if (draw < ailment_.reset + ailment_.half) {
+  if (draw < faults_.reset + faults_.half) {
     c.fate = Fate::kMalformed;
     Answer(peer, n, text.substr(0, text.size() / 2));
-  } else if (draw < ailment_.reset + ailment_.half + ailment_.garbage) {
+  } else if (draw < faults_.reset + faults_.half + faults_.garbage) {
     c.fate = Fate::kMalformed;
     Answer(peer, n, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
@@ -97,29 +99,29 @@
   }
 }
 
-void Machine::OnGone(Peer& peer, bool reset) {
+void BackendServer::OnGone(Peer& peer, bool reset) {
   if (number_ != kOrigin) world_.truth().links.push_back({number_, peer.router, loop().Now(), false});
   for (const Exchange& e : peer.owed) {
     AttemptRecord& c = world_.truth().attempts[e.attempt];
     if (c.end == Time(0)) c.end = loop().Now();
     if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
-    const auto it = by_record_.find(e.attempt);
-    if (it == by_record_.end()) continue;
+    const auto it = active_by_record_.find(e.attempt);
+    if (it == active_by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
     const WorkQueue::Token token = it->second;
     loop().deadlines().Drop(attempts_.Find(token)->deadline);
     attempts_.Remove(token);
-    by_record_.erase(it);
-    if (const auto next = work_queue_.Finish(token)) Begin(*next);
+    active_by_record_.erase(it);
+    if (const auto next = work_queue_.Finish(token)) StartWork(*next);
   }
 }
 
-void Machine::NoticeClose(std::uint64_t id) {
+void BackendServer::CheckClosed(std::uint64_t id) {
   Peer* peer = FindPeer(id);
   if (peer != nullptr && ClosedByRouter(*peer)) Break(*peer, false);
 }
 
-std::string Machine::MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const {
+std::string BackendServer::MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const {
   std::string value = IdText(id) + ":" + std::to_string(serial) + ":";
   if (value.size() < size) value.append(size - value.size(), 'v');
   return value;
--- a/lab/world/machine.h
+++ b/lab/world/machine.h
@@ -17,7 +17,7 @@
 class World;
 
 // Injected faults of a server.
-struct Ailment {
+struct InjectedFaults {
   bool hang = false;     // accepts requests and answers none
   double speed = 1;      // relative to its normal speed
   double reset = 0;      // share of its answers that are replaced by a reset of the connection
@@ -26,16 +26,16 @@
   double no_length = 0;  // origin only: share that state no length
 };
 
-class Machine : public Server {
+class BackendServer : public Server {
  public:
-  Machine(World& world, int number, int cores, double core_speed, int waiting);
+  BackendServer(World& world, int number, int cores, double core_speed, int waiting);
 
-  Ailment& ailment() { return ailment_; }
+  InjectedFaults& faults() { return faults_; }
   int number() const { return number_; }
   // Changes how many cores it has from now on; at least one.
   void SetCores(int cores);
   // If the router has closed this connection, closes it here too and records the end of its attempts.
-  void NoticeClose(std::uint64_t peer);
+  void CheckClosed(std::uint64_t peer);
 
  protected:
   struct Attempt {  // being processed or queued
@@ -45,32 +45,32 @@
     std::string key;
     Deadlines::Id deadline;
   };
-  MachineRecord& record();
+  MachineRecord& server_record();
   // Records an attempt that has been received completely.
-  std::size_t Enter(Peer& peer, RequestId id, double work_s, bool write);
+  std::size_t RecordAttempt(Peer& peer, RequestId id, double work_s, bool write);
   // Processes the attempt on a core, now or once one is free; false if the queue is full.
-  bool Work(Peer& peer, std::size_t record, double work_s, std::string key);
-  void Conclude(Peer& peer, std::size_t record, Fate fate, std::string text);
+  bool Enqueue(Peer& peer, std::size_t record, double work_s, std::string key);
+  void FinishAttempt(Peer& peer, std::size_t record, Fate fate, std::string text);
   // The work of the attempt is done: writes its answer.
-  virtual void Worked(Peer& peer, const Attempt& attempt) = 0;
+  virtual void OnWorkDone(Peer& peer, const Attempt& attempt) = 0;
   void OnGone(Peer& peer, bool reset) override;
   // The value that a server makes for an attempt. It contains the request's id and a serial number, so no
   // two attempts have the same value.
   std::string MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const;
 
   World& world_;
-  Ailment ailment_;
+  InjectedFaults faults_;
   Rng rng_;
 
  private:
-  void Begin(WorkQueue::Token token);
-  void Done(WorkQueue::Token token);
+  void StartWork(WorkQueue::Token token);
+  void FinishWork(WorkQueue::Token token);
 
   int number_;
   double core_speed_;
   WorkQueue work_queue_;
   Slots<Attempt> attempts_;
-  std::unordered_map<std::size_t, WorkQueue::Token> by_record_;
+  std::unordered_map<std::size_t, WorkQueue::Token> active_by_record_;
 };
 
 }  // namespace brasswood::lab
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -6,7 +6,7 @@
 namespace brasswood::lab {
 
 Origin::Origin(World& world, const OriginPlan& plan)
-    : Machine(world, kOrigin, plan.cores, 1, plan.waiting),
+    : BackendServer(world, kOrigin, plan.cores, 1, plan.waiting),
       plan_(plan),
       meter_(plan.fall_multiple, plan.fall, 0) {}
 
@@ -25,7 +25,7 @@
   HttpRequest request;
   while (TakeRequest(id, request)) {
     if (request.path.starts_with("/-/")) {  // a probe
-      if (!ailment().hang) Write(peer, HttpReply(200, "", ""));
+      if (!faults().hang) Write(peer, HttpReply(200, "", ""));
       continue;
     }
     const bool write = request.method == "PUT";
@@ -33,7 +33,7 @@
     Rng rng(Mix(asked ^ world_.scenario().seed), static_cast<std::uint64_t>(Stream::kContents));
     const double work =
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
-    const std::size_t n = Enter(peer, asked, work, write);
+    const std::size_t n = RecordAttempt(peer, asked, work, write);
     AttemptRecord& c = world_.truth().attempts[n];
     c.after_cold_miss = !write && world_.MissedCold(asked);
     Pending pending;
@@ -46,12 +46,12 @@
     const bool falls = meter_.Add(now, work, plan_.cores) > 1;
     const std::string key = request.path.substr(1);
     pending_.emplace(n, std::move(pending));
-    if (!ailment().hang && !Work(peer, n, work, key)) {
+    if (!faults().hang && !Enqueue(peer, n, work, key)) {
       pending_.erase(n);
-      Conclude(peer, n, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
+      FinishAttempt(peer, n, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
     }
     if (falls && down_until_ <= now) {
-      record().fell = true;
+      server_record().fell = true;
       world_.truth().origin_fell.push_back(now);
       return Stop(plan_.down);
     }
@@ -61,13 +61,13 @@
 // Writes an answer. While the fault is on, a share of the answers state no length: half of these are
 // complete and end with an orderly close, the others are truncated by a reset.
 void Origin::Reply(Peer& peer, std::size_t record, const std::string& body) {
-  if (!Chance(rng_, ailment().no_length)) {
-    return Conclude(peer, record, Fate::kServed, HttpReply(200, "", body));
+  if (!Chance(rng_, faults().no_length)) {
+    return FinishAttempt(peer, record, Fate::kServed, HttpReply(200, "", body));
   }
   const bool whole = Chance(rng_, 0.5);
   const std::uint64_t id = peer.id;
   const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (whole ? body : body.substr(0, body.size() / 2));
-  Conclude(peer, record, whole ? Fate::kServed : Fate::kMalformed, text);
+  FinishAttempt(peer, record, whole ? Fate::kServed : Fate::kMalformed, text);
   AttemptRecord& c = world_.truth().attempts[record];
   c.no_length = whole && c.fate == Fate::kServed;
   EndWhenWritten(id, whole);
@@ -84,7 +84,7 @@
   });
 }
 
-void Origin::Worked(Peer& peer, const Attempt& attempt) {
+void Origin::OnWorkDone(Peer& peer, const Attempt& attempt) {
   AttemptRecord& c = world_.truth().attempts[attempt.record];
   const Pending pending = std::move(pending_[attempt.record]);
   pending_.erase(attempt.record);
--- a/lab/world/origin.h
+++ b/lab/world/origin.h
@@ -8,7 +8,7 @@
 
 namespace brasswood::lab {
 
-class Origin : public Machine {
+class Origin : public BackendServer {
  public:
   Origin(World& world, const OriginPlan& plan);
   // Behaves like a process that has ended, and starts again after `length`.
@@ -18,7 +18,7 @@
   void OnBytes(Peer& peer) override;
   void Reply(Peer& peer, std::size_t record, const std::string& body);
   void EndWhenWritten(std::uint64_t peer, bool in_order);
-  void Worked(Peer& peer, const Attempt& attempt) override;
+  void OnWorkDone(Peer& peer, const Attempt& attempt) override;
 
   OriginPlan plan_;
   OverloadMeter meter_;
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -86,9 +86,9 @@
   return found;
 }
 
-void World::AttemptBegun(RequestId id, Machine& machine, std::uint64_t peer) {
+void World::AttemptBegun(RequestId id, BackendServer& machine, std::uint64_t peer) {
   Out& last = last_attempt_[id];
-  if (last.machine != nullptr && last.peer != peer) last.machine->NoticeClose(last.peer);
+  if (last.machine != nullptr && last.peer != peer) last.machine->CheckClosed(last.peer);
   last = {&machine, peer};
 }
 
@@ -156,7 +156,7 @@
   in_service_[static_cast<std::size_t>(node.number()) - 1] = false;
   ListLater(node.number(), Listed::kTerminating);
   loop_.deadlines().Set(loop_.Now() + drain, [this, &node] {
-    node.Die();
+    node.Kill();
     ListLater(node.number(), Listed::kTerminated);
   });
 }
@@ -192,34 +192,35 @@
 void World::Apply(const FaultPlan& fault, std::size_t number) {
   const auto later = [&](std::function<void()> run) { At(fault.at + fault.length, std::move(run)); };
   const auto ail = [&](auto set, auto unset) {
-    std::vector<Machine*> hit;
+    std::vector<BackendServer*> hit;
     if (fault.origin) {
       hit.push_back(origin_.get());
     } else {
       for (CacheServer* node : Pick(fault, number)) hit.push_back(node);
     }
-    for (Machine* m : hit) set(m->ailment());
+    for (BackendServer* m : hit) set(m->faults());
     later([hit, unset] {
-      for (Machine* m : hit) unset(m->ailment());
+      for (BackendServer* m : hit) unset(m->faults());
     });
   };
   switch (fault.kind) {
     case FaultKind::kHang:
-      return ail([](Ailment& a) { a.hang = true; }, [](Ailment& a) { a.hang = false; });
+      return ail([](InjectedFaults& a) { a.hang = true; }, [](InjectedFaults& a) { a.hang = false; });
     case FaultKind::kSlow:
-      return ail([&](Ailment& a) { a.speed = fault.size; }, [](Ailment& a) { a.speed = 1; });
+      return ail([&](InjectedFaults& a) { a.speed = fault.size; }, [](InjectedFaults& a) { a.speed = 1; });
     case FaultKind::kReset:
-      return ail([&](Ailment& a) { a.reset = fault.share; }, [](Ailment& a) { a.reset = 0; });
+      return ail([&](InjectedFaults& a) { a.reset = fault.share; }, [](InjectedFaults& a) { a.reset = 0; });
     case FaultKind::kHalf:
-      return ail([&](Ailment& a) { a.half = fault.share; }, [](Ailment& a) { a.half = 0; });
+      return ail([&](InjectedFaults& a) { a.half = fault.share; }, [](InjectedFaults& a) { a.half = 0; });
     case FaultKind::kGarbage:
-      return ail([&](Ailment& a) { a.garbage = fault.share; }, [](Ailment& a) { a.garbage = 0; });
+      return ail([&](InjectedFaults& a) { a.garbage = fault.share; },
+                 [](InjectedFaults& a) { a.garbage = 0; });
     case FaultKind::kNoLength:
-      origin_->ailment().no_length = fault.share;
-      return later([this] { origin_->ailment().no_length = 0; });
+      origin_->faults().no_length = fault.share;
+      return later([this] { origin_->faults().no_length = 0; });
     case FaultKind::kRefuse: {
       const std::vector<CacheServer*> hit = Pick(fault, number);
-      for (CacheServer* node : hit) node->Die();
+      for (CacheServer* node : hit) node->Kill();
       return later([this, hit] {
         for (CacheServer* node : hit) {
           node->Restart();
@@ -252,7 +253,7 @@
       return later([this, hit] {
         for (CacheServer* node : hit) {
           if (!node->alive()) continue;
-          node->Die();
+          node->Kill();
           node->Restart();
           ListLater(node->number(), Listed::kInService);
         }
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -57,7 +57,7 @@
   // An attempt of that request has been received completely. If the router has closed the connection of an
   // earlier attempt by now, that attempt is recorded as ended, even if the loop has not read the close yet:
   // otherwise the two attempts would seem to overlap.
-  void AttemptBegun(RequestId id, Machine& machine, std::uint64_t peer);
+  void AttemptBegun(RequestId id, BackendServer& machine, std::uint64_t peer);
   void Missed(RequestId id, int node) { missed_[id].push_back(node); }
   bool MissedCold(RequestId id);
   // The origin has served a fetch: the cache servers that missed store the value.
@@ -95,7 +95,7 @@
   std::vector<bool> in_service_;                     // likewise
   std::uint32_t serial_ = 0;
   struct Out {
-    Machine* machine = nullptr;
+    BackendServer* machine = nullptr;
     std::uint64_t peer = 0;
   };
   std::unordered_map<RequestId, Out> last_attempt_;
