--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -37,12 +37,12 @@
   SetLinks(Link::kRefused);
 }
 
-void CacheServer::OnPeer(Peer& peer) {
+void CacheServer::OnConnected(Peer& peer) {
   world_.truth().links.push_back({number(), peer.router, loop().Now(), true});
-  peer.surplus = peers() > static_cast<std::size_t>(plan_.connections);
+  peer.over_limit = peers() > static_cast<std::size_t>(plan_.connections);
 }
 
-void CacheServer::OnBytes(Peer& peer) {
+void CacheServer::OnData(Peer& peer) {
   const std::uint64_t id = peer.id;
   // Handling a command may close connections, including this one, hence the check.
   while (FindPeer(id) != nullptr) {
@@ -50,7 +50,7 @@
     Command command;
     const Parsed got = ParseCommand(Gathered(peer.buffer.get()), kLimits, used, command);
     if (got == Parsed::kMore) return;
-    if (got == Parsed::kBad) return Break(peer, false);
+    if (got == Parsed::kBad) return Close(peer, false);
     evbuffer_drain(bufferevent_get_input(peer.buffer.get()), used);
     if (command.verb == Verb::kRequest) {
       HandleRequest(peer, command.content);
@@ -76,7 +76,7 @@
   MachineRecord& self = server_record();
   const Time now = loop().Now();
   if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.fell = true;
-  const bool refused = rejecting_ || self.fell || peer.surplus;
+  const bool refused = rejecting_ || self.fell || peer.over_limit;
   if (refused || !Enqueue(peer, n, work, stored ? request.key : std::string())) {
     FinishAttempt(peer, n, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
   }
--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -22,8 +22,8 @@
   void RejectAll() { rejecting_ = true; }
 
  private:
-  void OnPeer(Peer& peer) override;
-  void OnBytes(Peer& peer) override;
+  void OnConnected(Peer& peer) override;
+  void OnData(Peer& peer) override;
   void OnWorkDone(Peer& peer, const Attempt& attempt) override;
   void HandleRequest(Peer& peer, const RequestContent& request);
 
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -102,7 +102,7 @@
   RecordNotices(peer, since, whole, written);
   if (reset) {
     loop().deadlines().Set(loop().Now() + std::chrono::milliseconds(1), [this, id = peer.id] {
-      if (Peer* at = FindPeer(id)) Break(*at, true);
+      if (Peer* at = FindPeer(id)) Close(*at, true);
     });
   }
 }
@@ -137,7 +137,7 @@
   }
 }
 
-void Discovery::OnBytes(Peer& peer) {
+void Discovery::OnData(Peer& peer) {
   const std::uint64_t id = peer.id;
   HttpRequest request;
   while (TakeRequest(id, request)) {
@@ -188,7 +188,7 @@
   }
 }
 
-void Discovery::OnGone(Peer& peer, bool) {
+void Discovery::OnClosed(Peer& peer, bool) {
   std::erase_if(watches_, [&](Watch& w) {
     if (w.peer != peer.id) return false;
     loop().deadlines().Drop(w.deadline);
--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -61,8 +61,8 @@
     std::int64_t since = 0;
     Deadlines::Id deadline;
   };
-  void OnBytes(Peer& peer) override;
-  void OnGone(Peer& peer, bool reset) override;
+  void OnData(Peer& peer) override;
+  void OnClosed(Peer& peer, bool reset) override;
   bool Room();
   void TakeCall(std::uint64_t id, const HttpRequest& request);
   void Serve(std::uint64_t id, const HttpRequest& request);
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -29,14 +29,14 @@
   c.request = id;
   c.machine = number_;
   c.router = peer.router;
-  c.first = peer.first;
+  c.first = peer.first_byte;
   c.whole = loop().Now();
   c.write = write;
   c.work_s = static_cast<float>(work_s);
   c.serial = world_.NextSerial();
   world_.truth().attempts.push_back(c);
   const std::size_t n = world_.truth().attempts.size() - 1;
-  peer.owed.push_back({n, false, {}});
+  peer.pending.push_back({n, false, {}});
   if (faults_.hang) world_.truth().attempts[n].fate = Fate::kNeverAnswered;
   return n;
 }
@@ -84,24 +84,24 @@
   if (draw < faults_.reset) {
     c.fate = Fate::kReset;
     c.end = loop().Now();
-    return Break(peer, true);
+    return Close(peer, true);
   }
   c.end = loop().Now();
   if (draw < faults_.reset + faults_.half) {
     c.fate = Fate::kMalformed;
-    Answer(peer, n, text.substr(0, text.size() / 2));
+    QueueAnswer(peer, n, text.substr(0, text.size() / 2));
   } else if (draw < faults_.reset + faults_.half + faults_.garbage) {
     c.fate = Fate::kMalformed;
-    Answer(peer, n, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
+    QueueAnswer(peer, n, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
     c.fate = fate;
-    Answer(peer, n, std::move(text));
+    QueueAnswer(peer, n, std::move(text));
   }
 }
 
-void BackendServer::OnGone(Peer& peer, bool reset) {
+void BackendServer::OnClosed(Peer& peer, bool reset) {
   if (number_ != kOrigin) world_.truth().links.push_back({number_, peer.router, loop().Now(), false});
-  for (const Exchange& e : peer.owed) {
+  for (const PendingAnswer& e : peer.pending) {
     AttemptRecord& c = world_.truth().attempts[e.attempt];
     if (c.end == Time(0)) c.end = loop().Now();
     if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
@@ -118,7 +118,7 @@
 
 void BackendServer::CheckClosed(std::uint64_t id) {
   Peer* peer = FindPeer(id);
-  if (peer != nullptr && ClosedByRouter(*peer)) Break(*peer, false);
+  if (peer != nullptr && ClosedByRouter(*peer)) Close(*peer, false);
 }
 
 std::string BackendServer::MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const {
--- a/lab/world/machine.h
+++ b/lab/world/machine.h
@@ -53,7 +53,7 @@
   void FinishAttempt(Peer& peer, std::size_t record, Fate fate, std::string text);
   // The work of the attempt is done: writes its answer.
   virtual void OnWorkDone(Peer& peer, const Attempt& attempt) = 0;
-  void OnGone(Peer& peer, bool reset) override;
+  void OnClosed(Peer& peer, bool reset) override;
   // The value that a server makes for an attempt. It contains the request's id and a serial number, so no
   // two attempts have the same value.
   std::string MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const;
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -20,7 +20,7 @@
   });
 }
 
-void Origin::OnBytes(Peer& peer) {
+void Origin::OnData(Peer& peer) {
   const std::uint64_t id = peer.id;
   HttpRequest request;
   while (TakeRequest(id, request)) {
@@ -77,7 +77,7 @@
   loop().deadlines().Set(loop().Now() + std::chrono::milliseconds(2), [this, id, in_order] {
     Peer* peer = FindPeer(id);
     if (peer == nullptr) return;
-    if (!in_order) return Break(*peer, true);
+    if (!in_order) return Close(*peer, true);
     if (evbuffer_get_length(bufferevent_get_output(peer->buffer.get())) != 0)
       return EndWhenWritten(id, true);
     ::shutdown(bufferevent_getfd(peer->buffer.get()), SHUT_WR);
--- a/lab/world/origin.h
+++ b/lab/world/origin.h
@@ -15,7 +15,7 @@
   void Stop(Duration length);
 
  private:
-  void OnBytes(Peer& peer) override;
+  void OnData(Peer& peer) override;
   void Reply(Peer& peer, std::size_t record, const std::string& body);
   void EndWhenWritten(std::uint64_t peer, bool in_order);
   void OnWorkDone(Peer& peer, const Attempt& attempt) override;
--- a/lab/world/server.cpp
+++ b/lab/world/server.cpp
@@ -37,21 +37,21 @@
 
 Server::Server(Loop& loop, int routers, std::uint64_t seed)
     : loop_(loop), routers_(routers), rng_(MakeRng(seed, Stream::kFaults)) {
-  reserve_ = Bound(-1);
+  port_holder_ = BoundSocket(-1);
   sockaddr_in at{};
   socklen_t size = sizeof at;
-  ::getsockname(reserve_, reinterpret_cast<sockaddr*>(&at), &size);
+  ::getsockname(port_holder_, reinterpret_cast<sockaddr*>(&at), &size);
   port_ = ntohs(at.sin_port);
-  all_.server = this;
-  Open(all_);
+  shared_listener_.server = this;
+  OpenListener(shared_listener_);
 }
 
 Server::~Server() {
-  Shut(all_);
-  for (auto& [router, door] : doors_) {
-    if (door.listener) Shut(*door.listener);
+  CloseListener(shared_listener_);
+  for (auto& [router, router_link] : router_links_) {
+    if (router_link.listener) CloseListener(*router_link.listener);
   }
-  ::close(reserve_);
+  ::close(port_holder_);
 }
 
 std::string Server::EndpointOf(std::uint16_t port, int router) {
@@ -60,7 +60,7 @@
          std::to_string(port);
 }
 
-int Server::Bound(int router) const {
+int Server::BoundSocket(int router) const {
   const int fd = Socket();
   const int on = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -79,136 +79,136 @@
   return fd;
 }
 
-void Server::Open(Listener& at) {
-  at.fd = Bound(at.router);
-  if (::listen(at.fd, kBacklog) != 0) {
+void Server::OpenListener(Listener& listener) {
+  listener.fd = BoundSocket(listener.router);
+  if (::listen(listener.fd, kBacklog) != 0) {
     throw std::runtime_error(std::string("the emulator cannot listen: ") + std::strerror(errno));
   }
-  at.event.reset(event_new(
-      loop_.base(), at.fd, EV_READ | EV_PERSIST,
+  listener.event.reset(event_new(
+      loop_.base(), listener.fd, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* p) {
         auto* l = static_cast<Listener*>(p);
         l->server->Accept(*l);
       },
-      &at));
-  event_add(at.event.get(), nullptr);
+      &listener));
+  event_add(listener.event.get(), nullptr);
 }
 
-void Server::Shut(Listener& at) {
-  at.event.reset();
-  for (const int fd : at.fillers) ::close(fd);
-  at.fillers.clear();
-  if (at.fd >= 0) ::close(at.fd);
-  at.fd = -1;
+void Server::CloseListener(Listener& listener) {
+  listener.event.reset();
+  for (const int fd : listener.fillers) ::close(fd);
+  listener.fillers.clear();
+  if (listener.fd >= 0) ::close(listener.fd);
+  listener.fd = -1;
 }
 
 // Makes new connections fail as on a cut network. Loopback loses no packets, but the kernel drops SYN
 // packets while the accept queue is full: the queue is made as short as possible and filled.
-void Server::Silence(Listener& at) {
-  Accept(at);  // connections that were established before the cut stay
-  event_del(at.event.get());
-  ::listen(at.fd, 0);
-  const sockaddr_in to = *ParseAddress(endpoint(at.router < 0 ? 0 : at.router));
+void Server::BlockConnections(Listener& listener) {
+  Accept(listener);  // connections that were established before the cut stay
+  event_del(listener.event.get());
+  ::listen(listener.fd, 0);
+  const sockaddr_in to = *ParseAddress(endpoint(listener.router < 0 ? 0 : listener.router));
   for (int i = 0; i < 2; ++i) {
     const int fd = Socket();
     (void)!::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
-    at.fillers.push_back(fd);
+    listener.fillers.push_back(fd);
   }
 }
 
 Link Server::link(int router) const {
-  const auto it = doors_.find(router);
-  return it == doors_.end() ? all_link_ : it->second.link;
+  const auto it = router_links_.find(router);
+  return it == router_links_.end() ? shared_link_ : it->second.link;
 }
 
-bool Server::Heard(const Peer& peer) const {
+bool Server::IsReadable(const Peer& peer) const {
   const Link now = link(peer.router);
-  return !peer.stalled && (now == Link::kUp || now == Link::kDeaf);
+  return !peer.stalled && (now == Link::kUp || now == Link::kAnswersLost);
 }
 
-void Server::SetTrouble(int router, const LinkTrouble& trouble) { troubles_[router] = trouble; }
+void Server::SetLinkFault(int router, const LinkFault& fault) { link_faults_[router] = fault; }
 
 // Sets the links of all routers, also of those whose state differed until now.
 void Server::SetLinks(Link link) {
-  while (!doors_.empty()) SetLink(doors_.begin()->first, all_link_);
-  if (all_link_ == link) return;
-  const Link before = std::exchange(all_link_, link);
-  Set(all_, before, link);
-  SetPeers(-1, before, link);
+  while (!router_links_.empty()) SetLink(router_links_.begin()->first, shared_link_);
+  if (shared_link_ == link) return;
+  const Link before = std::exchange(shared_link_, link);
+  SetListener(shared_listener_, before, link);
+  ApplyToPeers(-1, before, link);
 }
 
 void Server::SetLink(int router, Link link) {
   const Link before = this->link(router);
   if (before == link) return;
-  const auto it = doors_.find(router);
-  if (link == all_link_ && it != doors_.end()) {
-    if (it->second.listener) Shut(*it->second.listener);
-    doors_.erase(it);
+  const auto it = router_links_.find(router);
+  if (link == shared_link_ && it != router_links_.end()) {
+    if (it->second.listener) CloseListener(*it->second.listener);
+    router_links_.erase(it);
   } else {
-    Door& door = doors_[router];
-    door.link = link;
-    if (!door.listener) {
-      door.listener = std::make_unique<Listener>();
-      door.listener->server = this;
-      door.listener->router = router;
-      if (link != Link::kRefused) Open(*door.listener);
+    RouterLink& router_link = router_links_[router];
+    router_link.link = link;
+    if (!router_link.listener) {
+      router_link.listener = std::make_unique<Listener>();
+      router_link.listener->server = this;
+      router_link.listener->router = router;
+      if (link != Link::kRefused) OpenListener(*router_link.listener);
       // No new connection is established over a link that is cut, one way or both.
-      if (link == Link::kSilent || link == Link::kDeaf) Silence(*door.listener);
+      if (link == Link::kSilent || link == Link::kAnswersLost) BlockConnections(*router_link.listener);
     } else {
-      Set(*door.listener, before, link);
+      SetListener(*router_link.listener, before, link);
     }
   }
-  SetPeers(router, before, link);
+  ApplyToPeers(router, before, link);
 }
 
 // Applies the new state to a listener. A link that is cut, one way or both, establishes no connection.
-void Server::Set(Listener& at, Link before, Link link) {
+void Server::SetListener(Listener& listener, Link before, Link link) {
   const bool open = link == Link::kUp;
-  const bool was_cut = before == Link::kSilent || before == Link::kDeaf;
-  if (link == Link::kRefused) return Shut(at);
-  if (before == Link::kRefused) Open(at);
+  const bool was_cut = before == Link::kSilent || before == Link::kAnswersLost;
+  if (link == Link::kRefused) return CloseListener(listener);
+  if (before == Link::kRefused) OpenListener(listener);
   if (open && was_cut) {
-    for (const int fd : at.fillers) ::close(fd);
-    at.fillers.clear();
-    ::listen(at.fd, kBacklog);
-    event_add(at.event.get(), nullptr);
+    for (const int fd : listener.fillers) ::close(fd);
+    listener.fillers.clear();
+    ::listen(listener.fd, kBacklog);
+    event_add(listener.event.get(), nullptr);
   }
-  if (!open && !was_cut) Silence(at);
+  if (!open && !was_cut) BlockConnections(listener);
 }
 
 // Applies the new state to the connections of that router, or of all routers if it is below 0.
-void Server::SetPeers(int router, Link before, Link link) {
-  std::vector<std::uint64_t> here;
+void Server::ApplyToPeers(int router, Link before, Link link) {
+  std::vector<std::uint64_t> affected;
   peers_.Each([&](std::uint64_t id, auto& p) {
-    if (router < 0 || p->router == router) here.push_back(id);
+    if (router < 0 || p->router == router) affected.push_back(id);
   });
-  for (const std::uint64_t id : here) {
-    auto* held = peers_.Find(id);
-    if (held == nullptr) continue;
-    Peer& peer = **held;
+  for (const std::uint64_t id : affected) {
+    auto* found = peers_.Find(id);
+    if (found == nullptr) continue;
+    Peer& peer = **found;
     if (link == Link::kRefused) {
-      Break(peer, true);
+      Close(peer, true);
       continue;
     }
     if (before == Link::kSilent && ClosedByRouter(peer)) {
       // The router gave up during the cut: what it sent in that time counts as never received.
-      Break(peer, false);
+      Close(peer, false);
       continue;
     }
-    if (Heard(peer)) {
+    if (IsReadable(peer)) {
       bufferevent_enable(peer.buffer.get(), EV_READ);
     } else {
       bufferevent_disable(peer.buffer.get(), EV_READ);
     }
-    if (link == Link::kUp) Write(peer, std::exchange(peer.held, {}));
+    if (link == Link::kUp) Write(peer, std::exchange(peer.unsent, {}));
   }
 }
 
-void Server::Accept(Listener& at) {
+void Server::Accept(Listener& listener) {
   for (int i = 0; i < 256; ++i) {
     sockaddr_in to{};
     socklen_t size = sizeof to;
-    const int fd = ::accept4(at.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    const int fd = ::accept4(listener.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&to), &size);
     const int router = RouterAt(ntohl(to.sin_addr.s_addr));
@@ -230,26 +230,26 @@
         [](bufferevent*, void* p) { static_cast<Peer*>(p)->server->ReadFrom(*static_cast<Peer*>(p)); },
         nullptr,
         [](bufferevent*, short, void* p) {
-          static_cast<Peer*>(p)->server->Break(*static_cast<Peer*>(p), false);
+          static_cast<Peer*>(p)->server->Close(*static_cast<Peer*>(p), false);
         },
         &peer);
-    bufferevent_enable(peer.buffer.get(), Heard(peer) ? EV_READ | EV_WRITE : EV_WRITE);
-    OnPeer(peer);
+    bufferevent_enable(peer.buffer.get(), IsReadable(peer) ? EV_READ | EV_WRITE : EV_WRITE);
+    OnConnected(peer);
   }
 }
 
 void Server::ReadFrom(Peer& peer) {
   // Guards against starting work for a command that its router has given up: a connection that waited in
   // the accept queue, or behind a cut, may hold both the command and its close.
-  if (ClosedByRouter(peer)) return Break(peer, false);
-  if (peer.first == Time(0)) peer.first = LastByteCame(peer);
+  if (ClosedByRouter(peer)) return Close(peer, false);
+  if (peer.first_byte == Time(0)) peer.first_byte = LastByteCame(peer);
   const std::uint64_t id = peer.id;
-  OnBytes(peer);
-  auto* held = peers_.Find(id);
-  if (held == nullptr) return;
+  OnData(peer);
+  auto* found = peers_.Find(id);
+  if (found == nullptr) return;
   // Bytes that are left over belong to a message whose first byte arrived just now.
-  const bool more = evbuffer_get_length(bufferevent_get_input((*held)->buffer.get())) != 0;
-  if (!more) (*held)->first = Time(0);
+  const bool more = evbuffer_get_length(bufferevent_get_input((*found)->buffer.get())) != 0;
+  if (!more) (*found)->first_byte = Time(0);
 }
 
 // Guards against blaming the router for a delay of the emulator: bytes that were sent before the link was
@@ -257,9 +257,9 @@
 Time Server::LastByteCame(const Peer& peer) const {
   tcp_info info{};
   socklen_t size = sizeof info;
-  const bool told =
+  const bool known =
       ::getsockopt(bufferevent_getfd(peer.buffer.get()), IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
-  return loop_.Now() - std::chrono::milliseconds(told ? info.tcpi_last_data_recv : 0);
+  return loop_.Now() - std::chrono::milliseconds(known ? info.tcpi_last_data_recv : 0);
 }
 
 bool Server::TakeRequest(std::uint64_t id, HttpRequest& request) {
@@ -267,41 +267,41 @@
   if (peer == nullptr) return false;
   std::size_t used = 0;
   const Parsed got = ParseHttpRequest(Gathered(peer->buffer.get()), used, request);
-  if (got == Parsed::kBad) Break(*peer, false);
+  if (got == Parsed::kBad) Close(*peer, false);
   if (got != Parsed::kDone) return false;
   evbuffer_drain(bufferevent_get_input(peer->buffer.get()), used);
   return true;
 }
 
 Server::Peer* Server::FindPeer(std::uint64_t id) {
-  auto* held = peers_.Find(id);
-  return held == nullptr ? nullptr : held->get();
+  auto* found = peers_.Find(id);
+  return found == nullptr ? nullptr : found->get();
 }
 
 void Server::Write(Peer& peer, std::string_view text) {
   if (text.empty()) return;
   if (link(peer.router) != Link::kUp || peer.stalled) {
-    peer.held += text;
+    peer.unsent += text;
     return;
   }
-  const auto it = troubles_.find(peer.router);
-  if (it == troubles_.end()) {
+  const auto it = link_faults_.find(peer.router);
+  if (it == link_faults_.end()) {
     bufferevent_write(peer.buffer.get(), text.data(), text.size());
     return;
   }
-  const LinkTrouble& trouble = it->second;
-  if (Chance(rng_, trouble.lossy)) {
-    peer.held += text;
-    return Lose(peer);
+  const LinkFault& fault = it->second;
+  if (Chance(rng_, fault.lossy)) {
+    peer.unsent += text;
+    return LoseConnection(peer);
   }
-  const Duration more(static_cast<std::int64_t>(static_cast<double>(trouble.jitter.count()) * Unit(rng_)));
+  const Duration more(static_cast<std::int64_t>(static_cast<double>(fault.jitter.count()) * Unit(rng_)));
   // Keeps the order: an answer never arrives before the one written earlier.
-  peer.free = std::max(peer.free, loop_.Now() + trouble.delay + more);
-  loop_.deadlines().Set(peer.free, [this, id = peer.id, late = std::string(text)] {
+  peer.last_arrival = std::max(peer.last_arrival, loop_.Now() + fault.delay + more);
+  loop_.deadlines().Set(peer.last_arrival, [this, id = peer.id, late = std::string(text)] {
     Peer* at = FindPeer(id);
     if (at == nullptr) return;
     if (link(at->router) != Link::kUp || at->stalled) {
-      at->held += late;
+      at->unsent += late;
     } else {
       bufferevent_write(at->buffer.get(), late.data(), late.size());
     }
@@ -309,35 +309,35 @@
 }
 
 // A lossy link drops this connection: half of them are reset, the others become silent.
-void Server::Lose(Peer& peer) {
+void Server::LoseConnection(Peer& peer) {
   peer.stalled = true;
   bufferevent_disable(peer.buffer.get(), EV_READ);
   if (!Chance(rng_, 0.5)) return;
   loop_.deadlines().Set(Time(0), [this, id = peer.id] {
-    if (Peer* at = FindPeer(id)) Break(*at, true);
+    if (Peer* at = FindPeer(id)) Close(*at, true);
   });
 }
 
-void Server::Answer(Peer& peer, std::size_t attempt, std::string text) {
-  for (Exchange& e : peer.owed) {
+void Server::QueueAnswer(Peer& peer, std::size_t attempt, std::string text) {
+  for (PendingAnswer& e : peer.pending) {
     if (e.attempt != attempt || e.answered) continue;
     e.answered = true;
     e.text = std::move(text);
     break;
   }
-  while (!peer.owed.empty() && peer.owed.front().answered) {
-    Write(peer, peer.owed.front().text);
-    peer.owed.pop_front();
+  while (!peer.pending.empty() && peer.pending.front().answered) {
+    Write(peer, peer.pending.front().text);
+    peer.pending.pop_front();
   }
 }
 
-void Server::Break(Peer& peer, bool reset) {
-  auto* held = peers_.Find(peer.id);
-  if (held == nullptr) return;
-  const std::unique_ptr<Peer> gone = std::move(*held);
+void Server::Close(Peer& peer, bool reset) {
+  auto* found = peers_.Find(peer.id);
+  if (found == nullptr) return;
+  const std::unique_ptr<Peer> gone = std::move(*found);
   peers_.Remove(gone->id);
   if (reset) ResetOnClose(bufferevent_getfd(gone->buffer.get()));
-  OnGone(*gone, reset);
+  OnClosed(*gone, reset);
 }
 
 bool Server::ClosedByRouter(const Peer& peer) {
--- a/lab/world/server.h
+++ b/lab/world/server.h
@@ -27,13 +27,13 @@
 
 enum class Link {
   kUp,
-  kRefused,  // like an ended process: connections are reset, new ones refused
-  kSilent,   // like a cut network: nothing is read or written, no new connection is established
-  kDeaf      // cut one way: requests are read, answers are lost, no new connection is established
+  kRefused,     // like an ended process: connections are reset, new ones refused
+  kSilent,      // like a cut network: nothing is read or written, no new connection is established
+  kAnswersLost  // cut one way: requests are read, answers are lost, no new connection is established
 };
 
 // Injected faults of a link that is up.
-struct LinkTrouble {
+struct LinkFault {
   Duration delay{0}, jitter{0};  // added to each answer: at least `delay`, at most `jitter` more
   double lossy = 0;  // share of the answers that are lost: the connection is reset or becomes silent
 };
@@ -47,19 +47,19 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  static constexpr int kMostRouters = 512;
+  static constexpr int kMaxRouters = 512;
   static std::string EndpointOf(std::uint16_t port, int router);
   std::uint16_t port() const { return port_; }
   std::string endpoint(int router) const { return EndpointOf(port_, router); }
   void SetLink(int router, Link link);
   void SetLinks(Link link);
   Link link(int router) const;
-  void SetTrouble(int router, const LinkTrouble& trouble);
-  std::size_t listeners() const { return 1 + doors_.size(); }
+  void SetLinkFault(int router, const LinkFault& fault);
+  std::size_t listeners() const { return 1 + router_links_.size(); }
   std::size_t peers() const { return peers_.size(); }
 
  protected:
-  struct Exchange {           // an attempt whose answer has not been written yet
+  struct PendingAnswer {      // an attempt whose answer has not been written yet
     std::size_t attempt = 0;  // index in WorldTruth::attempts
     bool answered = false;
     std::string text;
@@ -68,23 +68,23 @@
     std::uint64_t id = 0;
     int router = 0;
     BufferPtr buffer;
-    Time first{0};              // when the first byte of the message being read arrived; 0: no byte yet
-    bool fresh = true;          // has sent no command yet
-    bool surplus = false;       // beyond the number of connections that this server accepts
-    std::deque<Exchange> owed;  // in the order of the requests on the connection
-    std::string held;           // written while the link was cut; sent when it is up again
-    bool stalled = false;       // lost by a lossy link: nothing passes any more
-    Time free{0};               // on a slow link: when the latest answer arrives
+    Time first_byte{0};       // when the first byte of the message being read arrived; 0: no byte yet
+    bool fresh = true;        // has sent no command yet
+    bool over_limit = false;  // beyond the number of connections that this server accepts
+    std::deque<PendingAnswer> pending;  // in the order of the requests on the connection
+    std::string unsent;                 // written while the link was cut; sent when it is up again
+    bool stalled = false;               // lost by a lossy link: nothing passes any more
+    Time last_arrival{0};               // on a slow link: when the latest answer arrives
     Server* server = nullptr;
   };
 
-  virtual void OnPeer(Peer&) {}
-  virtual void OnBytes(Peer& peer) = 0;
+  virtual void OnConnected(Peer&) {}
+  virtual void OnData(Peer& peer) = 0;
   // Whether data from this peer is read: not while its link is silent or refused, nor once a lossy link has
   // lost its connection.
-  bool Heard(const Peer& peer) const;
+  bool IsReadable(const Peer& peer) const;
   // The connection has ended; `reset`: this side reset it. The peer's pending answers are still there.
-  virtual void OnGone(Peer&, bool /*reset*/) {}
+  virtual void OnClosed(Peer&, bool /*reset*/) {}
 
   // Takes the next complete HTTP request that the peer has sent, if there is one. Closes the connection if
   // it sends anything else.
@@ -93,8 +93,8 @@
   Peer* FindPeer(std::uint64_t id);
   void Write(Peer& peer, std::string_view text);
   // Stores the answer of that attempt, and writes every answer whose turn it is.
-  void Answer(Peer& peer, std::size_t attempt, std::string text);
-  void Break(Peer& peer, bool reset);
+  void QueueAnswer(Peer& peer, std::size_t attempt, std::string text);
+  void Close(Peer& peer, bool reset);
   // Whether the router has closed its side, even if unread bytes are waiting.
   static bool ClosedByRouter(const Peer& peer);
   Loop& loop() { return loop_; }
@@ -107,29 +107,29 @@
     EventPtr event;
     std::vector<int> fillers;  // connections to itself that fill the accept queue while the link is cut
   };
-  int Bound(int router) const;
-  void Open(Listener& at);
-  void Shut(Listener& at);
-  void Silence(Listener& at);
-  void Set(Listener& at, Link before, Link link);
-  void SetPeers(int router, Link before, Link link);
-  void Accept(Listener& at);
+  int BoundSocket(int router) const;
+  void OpenListener(Listener& listener);
+  void CloseListener(Listener& listener);
+  void BlockConnections(Listener& listener);
+  void SetListener(Listener& listener, Link before, Link link);
+  void ApplyToPeers(int router, Link before, Link link);
+  void Accept(Listener& listener);
   void ReadFrom(Peer& peer);
   Time LastByteCame(const Peer& peer) const;
-  void Lose(Peer& peer);
+  void LoseConnection(Peer& peer);
 
   Loop& loop_;
   int routers_;
   std::uint16_t port_ = 0;
-  int reserve_ = -1;  // bound and never listening: reserves the port while the listener is closed
-  Listener all_;
-  Link all_link_ = Link::kUp;
-  struct Door {  // the link of a router that differs from the others'
+  int port_holder_ = -1;  // bound and never listening: reserves the port while the listener is closed
+  Listener shared_listener_;
+  Link shared_link_ = Link::kUp;
+  struct RouterLink {  // the link of a router that differs from the others'
     Link link = Link::kUp;
     std::unique_ptr<Listener> listener;
   };
-  std::map<int, Door> doors_;
-  std::map<int, LinkTrouble> troubles_;
+  std::map<int, RouterLink> router_links_;
+  std::map<int, LinkFault> link_faults_;
   Rng rng_;
   Slots<std::unique_ptr<Peer>> peers_;
 };
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -328,15 +328,15 @@
   const bool cut = fault.kind == FaultKind::kLinkCut || fault.kind == FaultKind::kPartition;
   for (const auto& [node, router] : pairs) {
     if (cut) {
-      node->SetLink(router, fault.back_only ? Link::kDeaf : Link::kSilent);
+      node->SetLink(router, fault.back_only ? Link::kAnswersLost : Link::kSilent);
     } else {
       const bool lossy = fault.kind == FaultKind::kLinkLossy;
-      node->SetTrouble(router, {fault.delay, fault.jitter, lossy ? fault.share : 0});
+      node->SetLinkFault(router, {fault.delay, fault.jitter, lossy ? fault.share : 0});
     }
   }
   At(fault.at + fault.length, [pairs, cut] {
     for (const auto& [node, router] : pairs) {
-      if (!cut) node->SetTrouble(router, {});
+      if (!cut) node->SetLinkFault(router, {});
       if (cut && node->alive()) node->SetLink(router, Link::kUp);
     }
   });
