--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -17,12 +17,12 @@
       world_(world),
       rng_(MakeRng(Mix(world.scenario().seed * 191), Stream::kFaults)) {}
 
-std::string Discovery::Compose(const std::vector<Line>& lines, std::int64_t rev, std::int64_t since,
-                               bool whole, int router) {
+std::string Discovery::FormatList(const std::vector<ListLine>& lines, std::int64_t rev, std::int64_t since,
+                                  bool whole, int router) {
   std::string out =
       R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (whole ? "true" : "false") + R"(,"targets":[)";
   bool first = true;
-  for (const Line& line : lines) {
+  for (const ListLine& line : lines) {
     if (whole ? line.terminated : line.rev <= since) continue;
     out += first ? "" : ",";
     first = false;
@@ -33,69 +33,71 @@
   return out + "]}";
 }
 
-void Discovery::List(int machine, Listed state) {
+void Discovery::SetState(int server, ServiceState state) {
   const Time now = loop().Now();
-  hears_at_ = std::max(hears_at_, now + trouble_.lag);
-  if (hears_at_ <= now) return Hear(machine, state);
-  loop().deadlines().Set(hears_at_, [this, machine, state] { Hear(machine, state); });
+  visible_at_ = std::max(visible_at_, now + faults_.update_lag);
+  if (visible_at_ <= now) return ApplyState(server, state);
+  loop().deadlines().Set(visible_at_, [this, server, state] { ApplyState(server, state); });
 }
 
-void Discovery::Hear(int machine, Listed state) {
+void Discovery::ApplyState(int server, ServiceState state) {
   ++rev_;
   const auto it =
-      std::find_if(entries_.begin(), entries_.end(), [&](const Entry& e) { return e.machine == machine; });
+      std::find_if(entries_.begin(), entries_.end(), [&](const Entry& e) { return e.server == server; });
   const auto n = static_cast<std::size_t>(it - entries_.begin());
   if (it == entries_.end()) {
     entries_.emplace_back();
     lines_.emplace_back();
   }
-  entries_[n] = {machine, state, rev_};
-  const MachineRecord& m = world_.truth().machines[static_cast<std::size_t>(machine)];
-  const auto boot = std::chrono::duration_cast<std::chrono::milliseconds>(m.capacity.started).count();
-  lines_[n] = {rev_, state == Listed::kTerminated, world_.PortOf(machine),
-               R"({"uid":")" + m.uid + R"(","endpoint":")",
-               R"(","az":")" + world_.scenario().halls[static_cast<std::size_t>(m.hall)] +
-                   R"(","model":")" + m.kind + R"(","pod_group":0,"state":")" +
-                   std::string(kStates[static_cast<std::size_t>(state)]) + R"(","capacity_hint":)" +
-                   std::to_string(world_.scenario().discovery.states_size ? m.capacity.full : 1.0) +
-                   R"(,"boot_ms":)" + std::to_string(boot) + "}"};
+  entries_[n] = {server, state, rev_};
+  const MachineRecord& server_record = world_.truth().machines[static_cast<std::size_t>(server)];
+  const auto boot =
+      std::chrono::duration_cast<std::chrono::milliseconds>(server_record.capacity.started).count();
+  lines_[n] = {
+      rev_, state == ServiceState::kTerminated, world_.PortOf(server),
+      R"({"uid":")" + server_record.uid + R"(","endpoint":")",
+      R"(","az":")" + world_.scenario().halls[static_cast<std::size_t>(server_record.hall)] +
+          R"(","model":")" + server_record.kind + R"(","pod_group":0,"state":")" +
+          std::string(kStates[static_cast<std::size_t>(state)]) + R"(","capacity_hint":)" +
+          std::to_string(world_.scenario().discovery.states_size ? server_record.capacity.full : 1.0) +
+          R"(,"boot_ms":)" + std::to_string(boot) + "}"};
   // All waiting callers are answered now; the text of a change differs only in the endpoints.
   std::vector<Watch> watches;
   watches.swap(watches_);
   for (Watch& w : watches) {
     loop().deadlines().Drop(w.deadline);
-    if (Peer* peer = FindPeer(w.peer)) Tell(*peer, w.since, false);
+    if (Peer* peer = FindPeer(w.peer)) SendList(*peer, w.since, false);
   }
 }
 
 // Whether the call rate limit admits a call: so many a second, with bursts of up to a tenth of that.
-bool Discovery::Room() {
+bool Discovery::AdmitCall() {
   const double rate = world_.scenario().discovery.calls;
   if (rate <= 0) return true;
   const Time now = loop().Now();
-  const double gained = rate * std::chrono::duration<double>(now - filled_).count();
-  room_ = std::min(std::max(1.0, rate / 10), room_ + gained);
-  filled_ = now;
-  if (room_ < 1) return false;
-  room_ -= 1;
+  const double gained = rate * std::chrono::duration<double>(now - tokens_filled_).count();
+  call_tokens_ = std::min(std::max(1.0, rate / 10), call_tokens_ + gained);
+  tokens_filled_ = now;
+  if (call_tokens_ < 1) return false;
+  call_tokens_ -= 1;
   return true;
 }
 
-void Discovery::Tell(Peer& peer, std::int64_t since, bool whole) {
-  if (!whole && Chance(rng_, trouble_.old)) {
+void Discovery::SendList(Peer& peer, std::int64_t since, bool whole) {
+  if (!whole && Chance(rng_, faults_.stale)) {
     return Write(
         peer,
         HttpReply(200, "", R"({"rev":)" + std::to_string(since - 1) + R"(,"all":true,"targets":[]})"));
   }
-  const std::string text = HttpReply(200, "", Text(peer.router, since, whole));
-  if (trouble_.late > Duration(0)) {
-    loop().deadlines().Set(loop().Now() + trouble_.late, [this, id = peer.id, since, whole, text] {
-      if (Peer* at = FindPeer(id)) Deliver(*at, since, whole, text);
+  const std::string text = HttpReply(200, "", ListFor(peer.router, since, whole));
+  if (faults_.answer_delay > Duration(0)) {
+    loop().deadlines().Set(loop().Now() + faults_.answer_delay, [this, id = peer.id, since, whole, text] {
+      if (Peer* at = FindPeer(id)) WriteList(*at, since, whole, text);
     });
     return;
   }
-  if (trouble_.pieces > Duration(0)) return Deliver(peer, since, whole, text);
-  const bool reset = Chance(rng_, trouble_.reset), half = reset || Chance(rng_, trouble_.half);
+  if (faults_.write_time > Duration(0)) return WriteList(peer, since, whole, text);
+  const bool reset = Chance(rng_, faults_.reset), half = reset || Chance(rng_, faults_.truncated);
   const std::string_view written = std::string_view(text).substr(0, half ? text.size() / 2 : text.size());
   if (!half) world_.truth().lists.push_back({peer.router, loop().Now(), false});
   Write(peer, written);
@@ -107,10 +109,10 @@
   }
 }
 
-void Discovery::Deliver(Peer& peer, std::int64_t since, bool whole, const std::string& text) {
+void Discovery::WriteList(Peer& peer, std::int64_t since, bool whole, const std::string& text) {
   world_.truth().lists.push_back({peer.router, loop().Now(), false});
-  if (trouble_.pieces > Duration(0)) {
-    return WriteNextPiece({peer.id, since, whole, text, 0}, trouble_.pieces / kPieces);
+  if (faults_.write_time > Duration(0)) {
+    return WriteNextPiece({peer.id, since, whole, text, 0}, faults_.write_time / kPieces);
   }
   Write(peer, text);
   RecordNotices(peer, since, whole, text);
@@ -130,10 +132,10 @@
 void Discovery::RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written) {
   for (std::size_t n = 0; n < entries_.size(); ++n) {
     const Entry& e = entries_[n];
-    if (e.state == Listed::kInService || (!whole && e.rev <= since)) continue;
+    if (e.state == ServiceState::kInService || (!whole && e.rev <= since)) continue;
     const std::string entry = lines_[n].before + EndpointOf(lines_[n].port, peer.router) + lines_[n].after;
     if (written.find(entry) == written.npos) continue;
-    world_.truth().removal_notices.push_back({peer.router, e.machine, loop().Now(), false});
+    world_.truth().removal_notices.push_back({peer.router, e.server, loop().Now(), false});
   }
 }
 
@@ -145,21 +147,21 @@
       Write(peer, HttpReply(404, "", ""));
       continue;
     }
-    if (!Room() || Chance(rng_, trouble_.busy)) {
+    if (!AdmitCall() || Chance(rng_, faults_.busy)) {
       world_.truth().lists.push_back({peer.router, loop().Now(), true});
       Write(peer, HttpReply(503, "", ""));
       continue;
     }
-    if (Chance(rng_, trouble_.deaf)) continue;
-    TakeCall(id, request);
+    if (Chance(rng_, faults_.unanswered)) continue;
+    ScheduleCall(id, request);
   }
 }
 
-void Discovery::TakeCall(std::uint64_t id, const HttpRequest& request) {
-  if (trouble_.each == Duration(0)) return Serve(id, request);
-  const Time from = trouble_.in_turn ? std::max(free_, loop().Now()) : loop().Now();
-  const Time served = from + trouble_.each;
-  if (trouble_.in_turn) free_ = served;
+void Discovery::ScheduleCall(std::uint64_t id, const HttpRequest& request) {
+  if (faults_.call_time == Duration(0)) return Serve(id, request);
+  const Time from = faults_.one_at_a_time ? std::max(earlier_calls_served_, loop().Now()) : loop().Now();
+  const Time served = from + faults_.call_time;
+  if (faults_.one_at_a_time) earlier_calls_served_ = served;
   loop().deadlines().Set(served, [this, id, request] { Serve(id, request); });
 }
 
@@ -170,9 +172,9 @@
   constexpr auto kNone = static_cast<std::uint64_t>(-1);
   const std::uint64_t since = QueryNumber(request.query, "since", kNone);
   if (since == kNone || static_cast<std::int64_t>(since) > rev_) {
-    Tell(peer, 0, true);
+    SendList(peer, 0, true);
   } else if (static_cast<std::int64_t>(since) < rev_) {
-    Tell(peer, static_cast<std::int64_t>(since), false);
+    SendList(peer, static_cast<std::int64_t>(since), false);
   } else {
     const std::uint64_t wait = std::min<std::uint64_t>(60000, QueryNumber(request.query, "timeout_ms", 0));
     Watch watch{id, static_cast<std::int64_t>(since), {}};
@@ -182,7 +184,7 @@
       if (it == watches_.end()) return;
       const std::int64_t since_then = it->since;
       watches_.erase(it);
-      if (Peer* at = FindPeer(id)) Tell(*at, since_then, false);
+      if (Peer* at = FindPeer(id)) SendList(*at, since_then, false);
     });
     watches_.push_back(watch);
   }
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -19,9 +19,9 @@
   origin_ = std::make_unique<Origin>(*this, scenario.origin);
   // Discovery is not among the numbered servers, to which replacements are added during the run.
   for (auto& discovery : discoveries_) discovery = std::make_unique<Discovery>(*this, routers_);
-  List(kOrigin, Listed::kInService);
+  SetState(kOrigin, ServiceState::kInService);
   for (const NodePlan& plan : scenario.nodes) {
-    for (int i = 0; i < plan.count; ++i) List(Add(plan, Time(0)), Listed::kInService);
+    for (int i = 0; i < plan.count; ++i) SetState(Add(plan, Time(0)), ServiceState::kInService);
   }
   WarmUp();
   Publish();
@@ -130,34 +130,34 @@
   return Victims(scenario_, number, std::move(all));
 }
 
-void World::ListLater(int machine, Listed state) {
+void World::SetStateLater(int machine, ServiceState state) {
   loop_.deadlines().Set(loop_.Now() + scenario_.discovery.late, [this, machine, state] {
-    List(machine, state);
+    SetState(machine, state);
     Publish();
   });
 }
 
-void World::List(int machine, Listed state) {
-  for (const auto& discovery : discoveries_) discovery->List(machine, state);
-  if (state == Listed::kInService) return;
+void World::SetState(int machine, ServiceState state) {
+  for (const auto& discovery : discoveries_) discovery->SetState(machine, state);
+  if (state == ServiceState::kInService) return;
   // After kNoticeAssumedAfter each router counts as notified, whatever happened to its calls.
   const Time noticed_at = loop_.Now() + kNoticeAssumedAfter;
   for (int r = 0; r < routers_; ++r) truth_.removal_notices.push_back({r, machine, noticed_at, true});
 }
 
-void World::Ail(DiscoveryTrouble trouble, const FaultPlan& fault) {
-  for (const auto& discovery : discoveries_) discovery->trouble() = trouble;
+void World::Ail(DiscoveryFaults injected, const FaultPlan& fault) {
+  for (const auto& discovery : discoveries_) discovery->faults() = injected;
   At(fault.at + fault.length, [this] {
-    for (const auto& discovery : discoveries_) discovery->trouble() = {};
+    for (const auto& discovery : discoveries_) discovery->faults() = {};
   });
 }
 
 void World::Leave(CacheServer& node, Duration drain) {
   in_service_[static_cast<std::size_t>(node.number()) - 1] = false;
-  ListLater(node.number(), Listed::kTerminating);
+  SetStateLater(node.number(), ServiceState::kTerminating);
   loop_.deadlines().Set(loop_.Now() + drain, [this, &node] {
     node.Kill();
-    ListLater(node.number(), Listed::kTerminated);
+    SetStateLater(node.number(), ServiceState::kTerminated);
   });
 }
 
@@ -173,7 +173,7 @@
     const Duration step = fault.length / static_cast<std::int64_t>(std::max<std::size_t>(1, batches));
     At(fault.at + step * static_cast<std::int64_t>(b), [this, batch, drain = fault.drain] {
       for (CacheServer* old : batch) {
-        ListLater(Add(old->plan(), loop_.Now()), Listed::kInService);
+        SetStateLater(Add(old->plan(), loop_.Now()), ServiceState::kInService);
         Leave(*old, drain);
       }
     });
@@ -224,7 +224,7 @@
       return later([this, hit] {
         for (CacheServer* node : hit) {
           node->Restart();
-          ListLater(node->number(), Listed::kInService);
+          SetStateLater(node->number(), ServiceState::kInService);
         }
       });
     }
@@ -255,7 +255,7 @@
           if (!node->alive()) continue;
           node->Kill();
           node->Restart();
-          ListLater(node->number(), Listed::kInService);
+          SetStateLater(node->number(), ServiceState::kInService);
         }
       });
     }
@@ -278,27 +278,27 @@
         for (const auto& discovery : discoveries_) discovery->SetLinks(Link::kUp);
       });
     case FaultKind::kListSlow:
-      return Ail({.each = fault.delay}, fault);
+      return Ail({.call_time = fault.delay}, fault);
     case FaultKind::kListQueue:
-      return Ail({.each = fault.delay, .in_turn = true}, fault);
+      return Ail({.call_time = fault.delay, .one_at_a_time = true}, fault);
     case FaultKind::kListHalf:
-      return Ail({.half = fault.share}, fault);
+      return Ail({.truncated = fault.share}, fault);
     case FaultKind::kListReset:
       return Ail({.reset = fault.share}, fault);
     case FaultKind::kListDeaf:
-      return Ail({.deaf = fault.share}, fault);
+      return Ail({.unanswered = fault.share}, fault);
     case FaultKind::kListBusy:
       return Ail({.busy = fault.share}, fault);
     case FaultKind::kListOld:
-      return Ail({.old = fault.share}, fault);
+      return Ail({.stale = fault.share}, fault);
     case FaultKind::kListLate:
-      return Ail({.late = fault.delay}, fault);
+      return Ail({.answer_delay = fault.delay}, fault);
     case FaultKind::kListPieces:
-      return Ail({.pieces = fault.delay}, fault);
+      return Ail({.write_time = fault.delay}, fault);
     case FaultKind::kListLag: {
       Discovery& last = *discoveries_.back();
-      last.trouble().lag = fault.delay;
-      return later([&last] { last.trouble().lag = Duration(0); });
+      last.faults().update_lag = fault.delay;
+      return later([&last] { last.faults().update_lag = Duration(0); });
     }
     case FaultKind::kOriginStop:
       return origin_->Stop(fault.length);
@@ -344,7 +344,7 @@
 
 void World::Publish() {
   const std::lock_guard lock(known_lock_);
-  known_.push_back({loop_.Now(), discoveries_[0]->Lines(), discoveries_[0]->rev()});
+  known_.push_back({loop_.Now(), discoveries_[0]->lines(), discoveries_[0]->rev()});
 }
 
 std::string World::Known(int router) { return KnownThen(router, Duration(0)); }
@@ -356,7 +356,7 @@
   for (const KnownList& k : known_) {
     if (k.from <= then) list = &k;
   }
-  return Discovery::Compose(list->lines, list->rev, 0, true, router);
+  return Discovery::FormatList(list->lines, list->rev, 0, true, router);
 }
 
 void World::Tick() {
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -73,9 +73,9 @@
   // The cache servers that a fault affects, drawn from those in service.
   std::vector<CacheServer*> Pick(const FaultPlan& fault, std::size_t number);
   void ApplyToLinks(const FaultPlan& fault, std::size_t number);
-  void List(int machine, Listed state);
-  void ListLater(int machine, Listed state);
-  void Ail(DiscoveryTrouble trouble, const FaultPlan& fault);
+  void SetState(int machine, ServiceState state);
+  void SetStateLater(int machine, ServiceState state);
+  void Ail(DiscoveryFaults injected, const FaultPlan& fault);
   void Leave(CacheServer& node, Duration drain);
   int Add(const NodePlan& plan, Time started);
   void Replace(const FaultPlan& fault, std::size_t number);
@@ -103,7 +103,7 @@
   std::mutex known_lock_;
   struct KnownList {  // a state of the server list, without the endpoints, which differ by router
     Time from{0};
-    std::vector<Discovery::Line> lines;
+    std::vector<Discovery::ListLine> lines;
     std::int64_t rev = 0;
   };
   std::vector<KnownList> known_;  // all states of the list, in order of time
