--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -86,7 +86,7 @@
   const AttemptRecord& c = world_.truth().attempts[attempt.record];
   const std::string id = IdText(c.request);
   if (attempt.key.empty()) {
-    world_.Missed(c.request, number());
+    world_.RecordMiss(c.request, number());
     return FinishAttempt(peer, attempt.record, Fate::kMiss, "EN O" + id + "\r\n");
   }
   const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -24,7 +24,7 @@
 }
 
 std::size_t BackendServer::RecordAttempt(Peer& peer, RequestId id, double work_s, bool write) {
-  world_.AttemptBegun(id, *this, peer.id);
+  world_.OnAttempt(id, *this, peer.id);
   AttemptRecord c;
   c.request = id;
   c.machine = number_;
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -35,7 +35,7 @@
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
     const std::size_t n = RecordAttempt(peer, asked, work, write);
     AttemptRecord& c = world_.truth().attempts[n];
-    c.after_cold_miss = !write && world_.MissedCold(asked);
+    c.after_cold_miss = !write && world_.MissedAtColdServer(asked);
     Pending pending;
     pending.request_class = world_.ClassOf(request.labels);
     EachLabel(request.labels, [&](std::string_view name, std::string_view value) {
@@ -89,7 +89,7 @@
   const Pending pending = std::move(pending_[attempt.record]);
   pending_.erase(attempt.record);
   if (!c.write) {
-    world_.Stored(c.request, attempt.key);
+    world_.StoreFetched(c.request, attempt.key);
     const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
     return Reply(peer, attempt.record, value);
   }
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -40,7 +40,7 @@
   // Serves until Stop. To be called on a thread of its own.
   void Run();
   // From any thread: states when the load begins, at least 50 ms from now; the faults' times count from it.
-  void Start(Time at) { asked_start_ = at.count(); }
+  void Start(Time at) { requested_start_ = at.count(); }
   // From any thread: Run returns soon.
   void Stop() { stop_ = true; }
   // After Run.
@@ -57,59 +57,59 @@
   // An attempt of that request has been received completely. If the router has closed the connection of an
   // earlier attempt by now, that attempt is recorded as ended, even if the loop has not read the close yet:
   // otherwise the two attempts would seem to overlap.
-  void AttemptBegun(RequestId id, BackendServer& machine, std::uint64_t peer);
-  void Missed(RequestId id, int node) { missed_[id].push_back(node); }
-  bool MissedCold(RequestId id);
+  void OnAttempt(RequestId id, BackendServer& server, std::uint64_t peer);
+  void RecordMiss(RequestId id, int server) { missed_[id].push_back(server); }
+  bool MissedAtColdServer(RequestId id);
   // The origin has served a fetch: the cache servers that missed store the value.
-  void Stored(RequestId id, const std::string& key);
+  void StoreFetched(RequestId id, const std::string& key);
   void DropCopies(const std::string& key);
-  std::string EndpointOf(int machine, int router) const;
-  std::uint16_t PortOf(int machine) const;
+  std::string EndpointOf(int server, int router) const;
+  std::uint16_t PortOf(int server) const;
 
  private:
   void Schedule(const FaultPlan& fault, std::size_t number);
   void Apply(const FaultPlan& fault, std::size_t number);
   void At(Duration from_start, std::function<void()> run);
   // The cache servers that a fault affects, drawn from those in service.
-  std::vector<CacheServer*> Pick(const FaultPlan& fault, std::size_t number);
+  std::vector<CacheServer*> PickVictims(const FaultPlan& fault, std::size_t number);
   void ApplyToLinks(const FaultPlan& fault, std::size_t number);
-  void SetState(int machine, ServiceState state);
-  void SetStateLater(int machine, ServiceState state);
-  void Ail(DiscoveryFaults injected, const FaultPlan& fault);
-  void Leave(CacheServer& node, Duration drain);
-  int Add(const NodePlan& plan, Time started);
+  void SetState(int server, ServiceState state);
+  void SetStateLater(int server, ServiceState state);
+  void InjectIntoDiscovery(DiscoveryFaults injected, const FaultPlan& fault);
+  void Drain(CacheServer& server, Duration drain);
+  int AddServer(const NodePlan& plan, Time started);
   void Replace(const FaultPlan& fault, std::size_t number);
   void WarmUp();
   void Tick();
-  void Publish();
+  void RecordList();
 
   const Scenario scenario_;
   const int routers_;
   Loop loop_{true};
   WorldTruth truth_;
   Time start_{0};
-  Rng names_;
+  Rng uid_rng_;
   std::unique_ptr<Origin> origin_;
   std::array<std::unique_ptr<Discovery>, 2> discoveries_;
-  std::vector<std::unique_ptr<CacheServer>> nodes_;  // by server number minus 1
-  std::vector<bool> in_service_;                     // likewise
+  std::vector<std::unique_ptr<CacheServer>> cache_servers_;  // by server number minus 1
+  std::vector<bool> in_service_;                             // likewise
   std::uint32_t serial_ = 0;
-  struct Out {
-    BackendServer* machine = nullptr;
+  struct LastAttempt {
+    BackendServer* server = nullptr;
     std::uint64_t peer = 0;
   };
-  std::unordered_map<RequestId, Out> last_attempt_;
+  std::unordered_map<RequestId, LastAttempt> last_attempt_;
   std::unordered_map<RequestId, std::vector<int>> missed_;
-  std::mutex known_lock_;
-  struct KnownList {  // a state of the server list, without the endpoints, which differ by router
+  std::mutex list_history_lock_;
+  struct ListSnapshot {  // a state of the server list, without the endpoints, which differ by router
     Time from{0};
     std::vector<Discovery::ListLine> lines;
     std::int64_t rev = 0;
   };
-  std::vector<KnownList> known_;  // all states of the list, in order of time
+  std::vector<ListSnapshot> list_history_;  // all states of the list, in order of time
   LagMeter lag_;
   std::atomic<bool> stop_{false};
-  std::atomic<std::int64_t> asked_start_{0};
+  std::atomic<std::int64_t> requested_start_{0};
 };
 
 }  // namespace brasswood::lab
