--- a/lab/load/answer.cpp
+++ b/lab/load/answer.cpp
@@ -3,10 +3,10 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr std::size_t kLine = 4096, kValue = 64 * 1024;
+constexpr std::size_t kMaxLine = 4096, kMaxValue = 64 * 1024;
 
 // Reads the body of a value, "ID:SERIAL:vvvv".
-bool TakeMark(std::string_view value, RequestId id, std::uint32_t& serial) {
+bool ParseMark(std::string_view value, RequestId id, std::uint32_t& serial) {
   const std::string text = IdText(id) + ":";
   if (!value.starts_with(text)) return false;
   value.remove_prefix(text.size());
@@ -21,25 +21,25 @@
 
 Parsed ParseClientAnswer(std::string_view in, RequestId id, std::size_t& used, ClientAnswer& answer) {
   answer = {};
-  const std::size_t end = in.substr(0, kLine).find("\r\n");
-  if (end == in.npos) return in.size() >= kLine ? Parsed::kBad : Parsed::kMore;
+  const std::size_t end = in.substr(0, kMaxLine).find("\r\n");
+  if (end == in.npos) return in.size() >= kMaxLine ? Parsed::kBad : Parsed::kMore;
   std::string_view rest = in.substr(0, end);
   used = end + 2;
   const std::string_view head = NextWord(rest);
   if (head == "VA") {
     const auto length = WholeNumber(NextWord(rest));
-    if (!length || *length > kValue || rest != "O" + IdText(id)) return Parsed::kBad;
+    if (!length || *length > kMaxValue || rest != "O" + IdText(id)) return Parsed::kBad;
     if (in.size() < used + *length + 2) return Parsed::kMore;
     if (in.substr(used + *length, 2) != "\r\n") return Parsed::kBad;
-    if (!TakeMark(in.substr(used, *length), id, answer.serial)) return Parsed::kBad;
+    if (!ParseMark(in.substr(used, *length), id, answer.serial)) return Parsed::kBad;
     used += *length + 2;
     answer.end = TryEnd::kValue;
     return Parsed::kDone;
   }
   if (head == "HD") {
-    const std::string_view said = NextWord(rest);
+    const std::string_view opaque = NextWord(rest);
     const auto n = rest.starts_with("cr") ? WholeNumber(rest.substr(2)) : std::nullopt;
-    if (said != "O" + IdText(id) || !n) return Parsed::kBad;
+    if (opaque != "O" + IdText(id) || !n) return Parsed::kBad;
     answer.serial = static_cast<std::uint32_t>(*n);
     answer.end = TryEnd::kReceipt;
     return Parsed::kDone;
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -12,11 +12,11 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr std::string_view kReadyQuestion = "mn\r\n";
+constexpr std::string_view kReadyProbe = "mn\r\n";
 
 // A client waits this much longer than the deadline it states, so that a late answer is recorded as late.
-constexpr Duration kPatience = std::chrono::milliseconds(400);
-constexpr int kMostUnreached = 3;  // further tries of a request after routers that were unreachable
+constexpr Duration kExtraWait = std::chrono::milliseconds(400);
+constexpr int kMaxUnreachable = 3;  // further tries of a request after routers that were unreachable
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
   for (const FaultPlan& f : scenario_.faults) {
     if (f.kind != FaultKind::kFlood && f.kind != FaultKind::kCrowd) continue;
-    loop_.deadlines().Set(start_ + f.at, [this, &f] { Flood(f); });
+    loop_.deadlines().Set(start_ + f.at, [this, &f] { StartFlood(f); });
   }
   lag_.Start(loop_);
   Tick();
@@ -73,20 +73,21 @@
     intent.tenant = next_->tenant;
     intent.hall = next_->hall;
     truth_.intents.push_back(intent);
-    works_.push_back({*next_, 0, 0});
+    states_.push_back({*next_, 0, 0});
     lateness_.push_back(now - intent.at);
     ++open_intents_;
-    Begin(static_cast<std::uint32_t>(truth_.intents.size() - 1));
+    StartNextTry(static_cast<std::uint32_t>(truth_.intents.size() - 1));
     next_ = schedule_.Next();
   }
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
 }
 
 // Sends a further try of the intent, with its own request id.
-void Load::Begin(std::uint32_t intent) {
-  Work& w = works_[intent];
-  const int number = w.tries + w.unreached;
-  Put(intent, number == 0 ? w.arrival.id : Schedule::Again(w.arrival.id, number), w.tries, false);
+void Load::StartNextTry(std::uint32_t intent) {
+  IntentState& state = states_[intent];
+  const int number = state.tries + state.unreachable;
+  StartTry(intent, number == 0 ? state.arrival.id : Schedule::RetryId(state.arrival.id, number),
+           state.tries, false);
 }
 
 int Load::PickRouter(int hall) {
@@ -107,8 +108,8 @@
   return up.back();
 }
 
-void Load::Put(std::uint32_t intent, RequestId id, int number, bool resent) {
-  const Arrival& a = works_[intent].arrival;
+void Load::StartTry(std::uint32_t intent, RequestId id, int number, bool resent) {
+  const Arrival& a = states_[intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
   const Duration left = truth_.intents[intent].at + plan.give_up - loop_.Now();
   TryRecord t;
@@ -129,7 +130,7 @@
     loop_.deadlines().Drop(c->deadline);
   }
   if (c != nullptr) {
-    c->record = record;
+    c->try_index = record;
     WriteTry(*c);
     return;
   }
@@ -139,15 +140,15 @@
   if (c == nullptr) {  // refused at once, or this process has no file descriptor left
     truth_.tries.back().end = TryEnd::kUnreachable;
     truth_.tries.back().ended = loop_.Now();
-    loop_.deadlines().Set(loop_.Now(),
-                          [this, record] { Settle(truth_.tries[static_cast<std::size_t>(record)]); });
+    loop_.deadlines().Set(
+        loop_.Now(), [this, record] { RetryOrFinish(truth_.tries[static_cast<std::size_t>(record)]); });
     return;
   }
-  c->record = record;
+  c->try_index = record;
   c->deadline = loop_.deadlines().Set(loop_.Now() + t.timeout, [this, conn = c->id] {
     Connection& at = **connections_.Find(conn);
     at.deadline = {};
-    Finish(at, TryEnd::kUnreachable);
+    EndTry(at, TryEnd::kUnreachable);
   });
 }
 
@@ -201,8 +202,8 @@
 }
 
 void Load::WriteTry(Connection& c) {
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
-  const Arrival& a = works_[t.intent].arrival;
+  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
+  const Arrival& a = states_[t.intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(t.timeout).count();
   std::string labels = " O" + IdText(t.id) + " Pc=" + plan.name + ",t=" + scenario_.tenants[a.tenant].name +
@@ -215,32 +216,32 @@
     text += " v" + labels + "\r\n";
   }
   t.router = static_cast<std::int16_t>(c.router);
-  t.pooled = c.used;
+  t.pooled = c.reused;
   t.sent = loop_.Now();
   ++sent_;
   bufferevent_write(c.buffer.get(), text.data(), text.size());
-  const Duration most = t.timeout + scenario_.rules.answer_slack + kPatience;
-  c.deadline = loop_.deadlines().Set(t.sent + most, [this, id = c.id] {
+  const Duration longest = t.timeout + scenario_.rules.answer_slack + kExtraWait;
+  c.deadline = loop_.deadlines().Set(t.sent + longest, [this, id = c.id] {
     Connection& at = **connections_.Find(id);
     at.deadline = {};
-    Finish(at, TryEnd::kOpen);
+    EndTry(at, TryEnd::kOpen);
   });
-  MayLeave(c);
+  MaybeLeave(c);
 }
 
 // Lets the client leave before the answer, if a fault says so: at a random moment of its wait, also right
 // after its last byte.
-void Load::MayLeave(const Connection& c) {
-  const TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
+void Load::MaybeLeave(const Connection& c) {
+  const TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
   for (const FaultPlan& f : scenario_.faults) {
     if (f.kind != FaultKind::kLeave || !Active(f, t.sent - start_) || !Chance(rng_, f.share)) continue;
-    const double part = Unit(rng_) * Unit(rng_);
+    const double share = Unit(rng_) * Unit(rng_);
     const Time at =
-        t.sent + Duration(static_cast<std::int64_t>(static_cast<double>(t.timeout.count()) * part));
-    (*connections_.Find(c.id))->leaves = loop_.deadlines().Set(at, [this, id = c.id] {
+        t.sent + Duration(static_cast<std::int64_t>(static_cast<double>(t.timeout.count()) * share));
+    (*connections_.Find(c.id))->leave_timer = loop_.deadlines().Set(at, [this, id = c.id] {
       Connection& leaving = **connections_.Find(id);
-      leaving.leaves = {};
-      Finish(leaving, TryEnd::kLeft);
+      leaving.leave_timer = {};
+      EndTry(leaving, TryEnd::kLeft);
     });
     return;
   }
@@ -252,8 +253,8 @@
     evbuffer_drain(in, evbuffer_get_length(in));
     return;
   }
-  if (c.record < 0) return Close(c.id);  // data without a request
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
+  if (c.try_index < 0) return Close(c.id);  // data without a request
+  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
   std::size_t used = 0;
   ClientAnswer answer;
   const Parsed got = ParseClientAnswer(Gathered(c.buffer.get()), t.id, used, answer);
@@ -261,13 +262,13 @@
   if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(c.buffer.get()), used);
   t.serial = answer.serial;
   t.retry_after = answer.retry_after;
-  Finish(c, got == Parsed::kDone ? answer.end : TryEnd::kBad);
+  EndTry(c, got == Parsed::kDone ? answer.end : TryEnd::kBad);
 }
 
 void Load::OnEvent(Connection& c, short what) {
   if (what & BEV_EVENT_CONNECTED) {
-    c.up = true;
-    if (c.crowd) bufferevent_write(c.buffer.get(), kReadyQuestion.data(), kReadyQuestion.size());
+    c.connected = true;
+    if (c.crowd) bufferevent_write(c.buffer.get(), kReadyProbe.data(), kReadyProbe.size());
     if (c.flood) return;
     loop_.deadlines().Drop(c.deadline);
     return WriteTry(c);
@@ -275,69 +276,71 @@
   if (c.flood) {
     // A connection of a flood is opened again at once when it is closed, one of a crowd after a second.
     const std::chrono::milliseconds away(c.crowd ? 1000 : 1);
-    loop_.deadlines().Set(loop_.Now() + away,
-                          [this, router = c.router, crowd = c.crowd] { OpenIdle(router, crowd); });
+    loop_.deadlines().Set(loop_.Now() + away, [this, router = c.router, crowd = c.crowd] {
+      OpenFloodConnection(router, crowd);
+    });
     Close(c.id);
     return;
   }
-  if (c.record < 0) return Close(c.id);
-  const TryRecord t = truth_.tries[static_cast<std::size_t>(c.record)];
+  if (c.try_index < 0) return Close(c.id);
+  const TryRecord t = truth_.tries[static_cast<std::size_t>(c.try_index)];
   const bool nothing_came = evbuffer_get_length(bufferevent_get_input(c.buffer.get())) == 0;
-  if (c.up && c.used && nothing_came && !t.resent) {
+  if (c.connected && c.reused && nothing_came && !t.resent) {
     // A reused connection that closed while the command was in transit: sent again on a new connection.
-    TryRecord& crossed = truth_.tries[static_cast<std::size_t>(c.record)];
+    TryRecord& crossed = truth_.tries[static_cast<std::size_t>(c.try_index)];
     crossed.end = TryEnd::kClosed;
     crossed.ended = loop_.Now();
     ++truth_.crossed;
     Close(c.id);
-    return Put(t.intent, t.id, t.number, true);
+    return StartTry(t.intent, t.id, t.number, true);
   }
-  Finish(c, c.up ? TryEnd::kClosed : TryEnd::kUnreachable);
+  EndTry(c, c.connected ? TryEnd::kClosed : TryEnd::kUnreachable);
 }
 
 // Records the end of the try on this connection, and reuses or closes the connection.
-void Load::Finish(Connection& c, TryEnd end) {
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.record)];
+void Load::EndTry(Connection& c, TryEnd end) {
+  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
   t.end = end;
   t.ended = loop_.Now();
-  c.record = -1;
+  c.try_index = -1;
   loop_.deadlines().Drop(c.deadline);
-  loop_.deadlines().Drop(c.leaves);
+  loop_.deadlines().Drop(c.leave_timer);
   const TryRecord done = t;
-  const bool whole = end == TryEnd::kValue || end == TryEnd::kReceipt || end == TryEnd::kBusy ||
-                     end == TryEnd::kFailed || end == TryEnd::kError;
-  if (whole && scenario_.load.pool != Pool::kDrop) {
-    Rest(c);
+  const bool complete = end == TryEnd::kValue || end == TryEnd::kReceipt || end == TryEnd::kBusy ||
+                        end == TryEnd::kFailed || end == TryEnd::kError;
+  if (complete && scenario_.load.pool != Pool::kDrop) {
+    KeepConnection(c);
   } else {
     if (end == TryEnd::kUnreachable) {
       down_until_[static_cast<std::size_t>(c.router)] = loop_.Now() + scenario_.load.notice;
     }
     Close(c.id);
   }
-  Settle(done);
+  RetryOrFinish(done);
 }
 
 // After a try has ended: sends a further try, now or after a backoff, or ends the intent.
-void Load::Settle(const TryRecord& t) {
+void Load::RetryOrFinish(const TryRecord& t) {
   Intent& intent = truth_.intents[t.intent];
-  Work& w = works_[t.intent];
+  IntentState& state = states_[t.intent];
   const ClassPlan& plan = scenario_.classes[intent.request_class];
   const Time now = loop_.Now();
   const bool served = t.end == TryEnd::kValue || t.end == TryEnd::kReceipt;
-  const bool unreached = t.end == TryEnd::kUnreachable;
-  bool again = !served && t.end != TryEnd::kLeft;
-  if (plan.repeats == Repeats::kNever) again = again && (t.end == TryEnd::kBusy || unreached);
-  if (plan.repeats == Repeats::kKeyed) again = again && now < intent.at + plan.window;
-  again = again && (unreached ? ++w.unreached <= kMostUnreached : w.tries < scenario_.load.retries);
+  const bool unreachable = t.end == TryEnd::kUnreachable;
+  bool retry = !served && t.end != TryEnd::kLeft;
+  if (plan.repeats == Repeats::kNever) retry = retry && (t.end == TryEnd::kBusy || unreachable);
+  if (plan.repeats == Repeats::kKeyed) retry = retry && now < intent.at + plan.window;
+  retry = retry &&
+          (unreachable ? ++state.unreachable <= kMaxUnreachable : state.tries < scenario_.load.retries);
   Duration wait{0};
-  if (again && !unreached) {
-    ++w.tries;
+  if (retry && !unreachable) {
+    ++state.tries;
     wait = Duration(static_cast<std::int64_t>(static_cast<double>(scenario_.load.backoff.count()) *
-                                              (0.5 + Unit(rng_)) * (1 << std::min(w.tries - 1, 10))));
+                                              (0.5 + Unit(rng_)) * (1 << std::min(state.tries - 1, 10))));
     if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, t.retry_after);
   }
-  if (again && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
-    loop_.deadlines().Set(now + wait, [this, n = t.intent] { Begin(n); });
+  if (retry && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
+    loop_.deadlines().Set(now + wait, [this, n = t.intent] { StartNextTry(n); });
     return;
   }
   intent.done = true;
@@ -347,8 +350,8 @@
   served_ += served;
 }
 
-void Load::Rest(Connection& c) {
-  c.used = true;
+void Load::KeepConnection(Connection& c) {
+  c.reused = true;
   c.deadline = loop_.deadlines().Set(loop_.Now() + scenario_.load.client_idle, [this, id = c.id] {
     (*connections_.Find(id))->deadline = {};
     Close(id);
@@ -363,16 +366,16 @@
   const std::unique_ptr<Connection> c = std::move(*held);
   connections_.Remove(id);
   loop_.deadlines().Drop(c->deadline);
-  loop_.deadlines().Drop(c->leaves);
+  loop_.deadlines().Drop(c->leave_timer);
   std::erase(idle_[c->client], id);
 }
 
-void Load::Flood(const FaultPlan& fault) {
+void Load::StartFlood(const FaultPlan& fault) {
   const bool crowd = fault.kind == FaultKind::kCrowd;
-  bool& on = crowd ? crowding_ : flooding_;
+  bool& on = crowd ? crowd_on_ : flood_on_;
   on = true;
   for (std::size_t r = 0; r < routers_.size(); ++r) {
-    for (int i = 0; i < static_cast<int>(fault.size); ++i) OpenIdle(static_cast<int>(r), crowd);
+    for (int i = 0; i < static_cast<int>(fault.size); ++i) OpenFloodConnection(static_cast<int>(r), crowd);
   }
   loop_.deadlines().Set(start_ + fault.at + fault.length, [this, crowd, &on] {
     on = false;
@@ -384,8 +387,8 @@
   });
 }
 
-void Load::OpenIdle(int router, bool crowd) {
-  if (crowd ? !crowding_ : !flooding_) return;
+void Load::OpenFloodConnection(int router, bool crowd) {
+  if (crowd ? !crowd_on_ : !flood_on_) return;
   if (Connection* c = Open(router, 0, true)) c->crowd = crowd;
 }
 
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -41,34 +41,34 @@
     int router = 0;
     std::uint32_t client = 0;
     BufferPtr buffer;
-    bool up = false;        // established
-    bool used = false;      // a try on it has been answered
-    long long record = -1;  // index of the open try in LoadTruth::tries; -1: none
+    bool connected = false;    // established
+    bool reused = false;       // a try on it has been answered
+    long long try_index = -1;  // index of the open try in LoadTruth::tries; -1: none
     Deadlines::Id deadline;
-    Deadlines::Id leaves;  // when its client closes it before the answer
-    bool flood = false;    // opened by a flood or crowd fault: carries no request
-    bool crowd = false;    // with `flood`: asks once whether the router is ready
+    Deadlines::Id leave_timer;  // when its client closes it before the answer
+    bool flood = false;         // opened by a flood or crowd fault: carries no request
+    bool crowd = false;         // with `flood`: asks once whether the router is ready
   };
-  struct Work {  // the state of an intent
+  struct IntentState {  // the state of an intent
     Arrival arrival;
-    int tries = 0, unreached = 0;
+    int tries = 0, unreachable = 0;
   };
 
   void SendDue();
-  void Begin(std::uint32_t intent);
-  void Put(std::uint32_t intent, RequestId id, int number, bool resent);
+  void StartNextTry(std::uint32_t intent);
+  void StartTry(std::uint32_t intent, RequestId id, int number, bool resent);
   Connection* Open(int router, std::uint32_t client, bool flood);
-  void OpenIdle(int router, bool crowd);
+  void OpenFloodConnection(int router, bool crowd);
   int PickRouter(int hall);
   void WriteTry(Connection& c);
-  void MayLeave(const Connection& c);
+  void MaybeLeave(const Connection& c);
   void OnRead(Connection& c);
   void OnEvent(Connection& c, short what);
-  void Finish(Connection& c, TryEnd end);
-  void Settle(const TryRecord& t);
-  void Rest(Connection& c);
+  void EndTry(Connection& c, TryEnd end);
+  void RetryOrFinish(const TryRecord& t);
+  void KeepConnection(Connection& c);
   void Close(std::uint64_t id);
-  void Flood(const FaultPlan& fault);
+  void StartFlood(const FaultPlan& fault);
   void Tick();
 
   const Scenario& scenario_;
@@ -81,13 +81,13 @@
   Time start_{0};
   std::optional<Arrival> next_;
   LoadTruth truth_;
-  std::vector<Work> works_;  // by intent
+  std::vector<IntentState> states_;  // by intent
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
   std::vector<std::vector<std::uint64_t>> idle_;  // connections by client; the most recently used last
   std::size_t open_intents_ = 0;
-  bool flooding_ = false;
-  bool crowding_ = false;
+  bool flood_on_ = false;
+  bool crowd_on_ = false;
   LagMeter lag_;
   std::atomic<bool> stop_{false};
   std::atomic<std::uint64_t> sent_{0}, served_{0};
--- a/lab/load/schedule.h
+++ b/lab/load/schedule.h
@@ -29,7 +29,7 @@
   // The next arrival; none after the end of the scenario.
   std::optional<Arrival> Next();
   // The id of a further try of the same intent.
-  static RequestId Again(RequestId first, int number) {
+  static RequestId RetryId(RequestId first, int number) {
     return Mix(first ^ static_cast<std::uint64_t>(number) << 56);
   }
 
@@ -37,11 +37,11 @@
   double Rate(Duration at) const;
 
   const Scenario& scenario_;
-  Rng when_, what_;
+  Rng arrival_rng_, content_rng_;
   std::discrete_distribution<int> class_, tenant_, hall_;
   Zipf zipf_;
   std::vector<std::vector<std::uint32_t>> clients_;  // by zone
-  double most_;                                      // upper bound of Rate
+  double max_rate_;                                  // upper bound of Rate
   Duration at_{0};
   std::uint64_t serial_ = 0;
 };
