--- a/lab/preload/call_fault.cpp
+++ b/lab/preload/call_fault.cpp
@@ -56,22 +56,22 @@
   return x ^ (x >> 31);
 }
 
-bool Fails() {
+bool ShouldFail() {
   const CallMode* mode = Mode();
   const std::uint32_t share = mode == nullptr ? 0 : mode->per_mille.load();
   return share > 0 && Draw() % 1000 < share;
 }
 
 template <std::size_t N>
-int Fail(const int (&errors)[N]) {
+int FailWith(const int (&errors)[N]) {
   errno = errors[Draw() % N];
   return -1;
 }
 
-constexpr int kMostDescriptors = 1 << 16;
-std::atomic<bool> g_made[kMostDescriptors];  // sockets on which this process called connect
+constexpr int kMaxDescriptors = 1 << 16;
+std::atomic<bool> g_connected[kMaxDescriptors];  // sockets on which this process called connect
 
-bool Made(int fd) { return fd >= 0 && fd < kMostDescriptors && g_made[fd]; }
+bool IsOutgoing(int fd) { return fd >= 0 && fd < kMaxDescriptors && g_connected[fd]; }
 
 // Ends the connection as the kernel does when it times out.
 ssize_t TimedOut(int fd) {
@@ -80,25 +80,25 @@
   return -1;
 }
 
-enum class Trouble { kNone, kInterrupted, kShort, kDead };
+enum class TransferFault { kNone, kInterrupted, kShort, kTimedOut };
 
-Trouble OnTransfer(int fd) {
-  if (!Fails()) return Trouble::kNone;
+TransferFault PickTransferFault(int fd) {
+  if (!ShouldFail()) return TransferFault::kNone;
   const std::uint64_t which = Draw() % 8;
-  if (which == 0 && Made(fd)) return Trouble::kDead;
-  return which < 4 ? Trouble::kInterrupted : Trouble::kShort;
+  if (which == 0 && IsOutgoing(fd)) return TransferFault::kTimedOut;
+  return which < 4 ? TransferFault::kInterrupted : TransferFault::kShort;
 }
 
 using Transfer = ssize_t (*)(int, const iovec*, int);
 
 // Does a readv or writev, with or without a fault.
-ssize_t Transferred(Transfer next, int fd, const iovec* parts, int count) {
-  switch (OnTransfer(fd)) {
-    case Trouble::kInterrupted:
-      return Fail({EINTR});
-    case Trouble::kDead:
+ssize_t TransferWithFault(Transfer next, int fd, const iovec* parts, int count) {
+  switch (PickTransferFault(fd)) {
+    case TransferFault::kInterrupted:
+      return FailWith({EINTR});
+    case TransferFault::kTimedOut:
       return TimedOut(fd);
-    case Trouble::kShort: {
+    case TransferFault::kShort: {
       const iovec less{parts[0].iov_base, std::min<std::size_t>(parts[0].iov_len, 1 + Draw() % 7)};
       return next(fd, &less, 1);
     }
@@ -113,53 +113,53 @@
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
   static const auto next = Next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (Fails()) return Fail({ECONNABORTED, EMFILE, ENFILE, ENOBUFS, EINTR});
+  if (ShouldFail()) return FailWith({ECONNABORTED, EMFILE, ENFILE, ENOBUFS, EINTR});
   const int got = next(fd, address, size, flags);
-  if (got >= 0 && got < kMostDescriptors) g_made[got] = false;
+  if (got >= 0 && got < kMaxDescriptors) g_connected[got] = false;
   return got;
 }
 
 int socket(int domain, int type, int protocol) {
   static const auto next = Next<int (*)(int, int, int)>("socket");
-  if (domain == AF_INET && Fails()) return Fail({EMFILE, ENFILE, ENOBUFS});
+  if (domain == AF_INET && ShouldFail()) return FailWith({EMFILE, ENFILE, ENOBUFS});
   const int got = next(domain, type, protocol);
-  if (got >= 0 && got < kMostDescriptors) g_made[got] = false;
+  if (got >= 0 && got < kMaxDescriptors) g_connected[got] = false;
   return got;
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
   static const auto next = Next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (Fails()) return Fail({EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT});
-  if (fd >= 0 && fd < kMostDescriptors) g_made[fd] = true;
+  if (ShouldFail()) return FailWith({EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT});
+  if (fd >= 0 && fd < kMaxDescriptors) g_connected[fd] = true;
   return next(fd, address, size);
 }
 
 ssize_t readv(int fd, const iovec* parts, int count) {
   static const auto next = Next<Transfer>("readv");
-  return Transferred(next, fd, parts, count);
+  return TransferWithFault(next, fd, parts, count);
 }
 
 ssize_t writev(int fd, const iovec* parts, int count) {
   static const auto next = Next<Transfer>("writev");
-  return Transferred(next, fd, parts, count);
+  return TransferWithFault(next, fd, parts, count);
 }
 
 ssize_t recv(int fd, void* data, size_t size, int flags) {
   static const auto next = Next<ssize_t (*)(int, void*, size_t, int)>("recv");
-  if (Fails()) return Fail({EINTR});
+  if (ShouldFail()) return FailWith({EINTR});
   return next(fd, data, size, flags);
 }
 
 int poll(pollfd* polled, nfds_t count, int timeout) {
   static const auto next = Next<int (*)(pollfd*, nfds_t, int)>("poll");
-  if (Fails()) return Fail({EINTR});
+  if (ShouldFail()) return FailWith({EINTR});
   return next(polled, count, timeout);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
   static const auto next = Next<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  if (Fails()) return Fail({EINTR});
-  return next(fd, events, most, timeout);
+  if (ShouldFail()) return FailWith({EINTR});
+  return next(fd, events, max_events, timeout);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) {
--- a/lab/preload/disk_fault.cpp
+++ b/lab/preload/disk_fault.cpp
@@ -41,14 +41,14 @@
   return shared == nullptr ? DiskMode::kSound : static_cast<DiskMode>(shared->load());
 }
 
-bool OursByName(const char* path) {
+bool PathInFolder(const char* path) {
   static const char* folder = std::getenv("BRASSWOOD_LAB_DISK_FOLDER");
   if (folder == nullptr || path == nullptr) return false;
   const std::size_t n = std::strlen(folder);
   return std::strncmp(path, folder, n) == 0 && (path[n] == '/' || path[n] == '\0');
 }
 
-bool Ours(int fd) {
+bool FileInFolder(int fd) {
   const int before = errno;
   char link[64], path[PATH_MAX];
   std::snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
@@ -56,25 +56,25 @@
   errno = before;
   if (n <= 0) return false;
   path[n] = '\0';
-  return OursByName(path);
+  return PathInFolder(path);
 }
 
 // A stalled disk: blocks until the fault is over.
-void Wait() {
+void WaitWhileStalled() {
   while (Mode() == DiskMode::kStall) {
     const timespec pause{0, 5000000};
     ::nanosleep(&pause, nullptr);
   }
 }
 
-int Fail(int error) {
+int FailWith(int error) {
   errno = error;
   return -1;
 }
 
 // The error for a rename or fsync in the folder; 0: none.
-int Changing() {
-  Wait();
+int ChangeError() {
+  WaitWhileStalled();
   switch (Mode()) {
     case DiskMode::kReadOnly:
       return EROFS;
@@ -95,24 +95,24 @@
   const mode_t mode = (flags & (O_CREAT | O_TMPFILE)) != 0 ? va_arg(more, mode_t) : 0;
   va_end(more);
   static const auto next = Next<int (*)(const char*, int, ...)>("open");
-  if (OursByName(path)) {
-    Wait();
+  if (PathInFolder(path)) {
+    WaitWhileStalled();
     const bool writes = (flags & O_ACCMODE) != O_RDONLY;
-    if (writes && Mode() == DiskMode::kReadOnly) return Fail(EROFS);
-    if (writes && Mode() == DiskMode::kFull && (flags & O_CREAT) != 0) return Fail(ENOSPC);
+    if (writes && Mode() == DiskMode::kReadOnly) return FailWith(EROFS);
+    if (writes && Mode() == DiskMode::kFull && (flags & O_CREAT) != 0) return FailWith(ENOSPC);
   }
   return next(path, flags, mode);
 }
 
 ssize_t write(int fd, const void* data, size_t size) {
   static const auto next = Next<ssize_t (*)(int, const void*, size_t)>("write");
-  if (Mode() != DiskMode::kSound && Ours(fd)) {
-    Wait();
+  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+    WaitWhileStalled();
     switch (Mode()) {
       case DiskMode::kFull:
-        return Fail(ENOSPC);
+        return FailWith(ENOSPC);
       case DiskMode::kError:
-        return Fail(EIO);
+        return FailWith(EIO);
       case DiskMode::kShort:  // reports success, but half of the bytes are lost: the file is too short
         (void)!next(fd, data, size / 2);
         return static_cast<ssize_t>(size);
@@ -125,22 +125,22 @@
 
 ssize_t read(int fd, void* data, size_t size) {
   static const auto next = Next<ssize_t (*)(int, void*, size_t)>("read");
-  if (Mode() == DiskMode::kStall && Ours(fd)) Wait();
+  if (Mode() == DiskMode::kStall && FileInFolder(fd)) WaitWhileStalled();
   return next(fd, data, size);
 }
 
 int fsync(int fd) {
   static const auto next = Next<int (*)(int)>("fsync");
-  if (Mode() != DiskMode::kSound && Ours(fd)) {
-    if (const int error = Changing()) return Fail(error);
+  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+    if (const int error = ChangeError()) return FailWith(error);
   }
   return next(fd);
 }
 
 int rename(const char* from, const char* to) {
   static const auto next = Next<int (*)(const char*, const char*)>("rename");
-  if (OursByName(to)) {
-    if (const int error = Changing()) return Fail(error);
+  if (PathInFolder(to)) {
+    if (const int error = ChangeError()) return FailWith(error);
   }
   return next(from, to);
 }
