--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -26,7 +26,7 @@
 using beechledge::Availability;
 using beechledge::Result;
 
-enum class Mode {
+enum class Fault {
   kHonest,
   kDoubleWrite,   // a write that must not repeat is sent again after its receipt
   kLostAnswer,    // some connections are closed without an answer
@@ -37,11 +37,11 @@
   kTwoAtOnce,     // reads go to two cache servers at the same time
   kRefusedRun     // writes that ran are refused as not run
 };
-constexpr std::string_view kModes[] = {"honest",      "double-write",  "lost-answer",
-                                       "late-answer", "foreign-value", "late-drain",
-                                       "cold-push",   "two-at-once",   "refused-run"};
+constexpr std::string_view kFaultModes[] = {"honest",      "double-write",  "lost-answer",
+                                            "late-answer", "foreign-value", "late-drain",
+                                            "cold-push",   "two-at-once",   "refused-run"};
 
-constexpr int kPatienceMs = 10000;
+constexpr int kReadTimeoutMs = 10000;
 
 class Socket {
  public:
@@ -58,7 +58,7 @@
   }
   void Write(const std::string& text) const { (void)!::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
   // Reads until `parse` has a complete message; false if the other side closes or sends nothing for
-  // kPatienceMs.
+  // kReadTimeoutMs.
   bool Read(const std::function<Parsed(std::string_view, std::size_t&)>& parse) {
     for (;;) {
       std::size_t used = 0;
@@ -70,7 +70,7 @@
       }
       pollfd p{fd_, POLLIN, 0};
       char bytes[16384];
-      const ssize_t n = ::poll(&p, 1, kPatienceMs) == 1 ? ::recv(fd_, bytes, sizeof bytes, 0) : 0;
+      const ssize_t n = ::poll(&p, 1, kReadTimeoutMs) == 1 ? ::recv(fd_, bytes, sizeof bytes, 0) : 0;
       if (n <= 0) return false;
       in_.append(bytes, static_cast<std::size_t>(n));
     }
@@ -83,10 +83,11 @@
 
 class FaultyRouter {
  public:
-  FaultyRouter(Config config, Mode mode) : config_(std::move(config)), mode_(mode), list_(config_.known) {}
+  FaultyRouter(Config config, Fault fault)
+      : config_(std::move(config)), fault_(fault), list_(config_.known) {}
 
   void Serve() {
-    std::thread([this] { Follow(); }).detach();
+    std::thread([this] { PollDiscovery(); }).detach();
     const sockaddr_in at = *ParseAddress(config_.listen);
     const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const int on = 1;
@@ -98,15 +99,15 @@
     }
     for (;;) {
       const int fd = ::accept(listener, nullptr, nullptr);
-      if (fd >= 0) std::thread([this, fd] { Converse(fd); }).detach();
+      if (fd >= 0) std::thread([this, fd] { ServeClient(fd); }).detach();
     }
   }
 
  private:
-  void Follow() {
+  void PollDiscovery() {
     for (;;) {
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
-      if (mode_ == Mode::kLateDrain && Told()) continue;
+      if (fault_ == Fault::kLateDrain && ListChanged()) continue;
       Socket s(-1);
       if (!s.Connect(config_.discovery)) continue;
       s.Write(WriteGet(config_.discovery, ListPath(std::nullopt, Duration(0))));
@@ -121,14 +122,14 @@
       const std::lock_guard lock(lock_);
       if (!list) continue;
       const bool changed = list->entries.size() != list_.entries.size() || list->rev != list_.rev;
-      told_ = told_ || changed;
+      list_changed_ = list_changed_ || changed;
       // With kLateDrain the router has received the change, but goes on with the earlier list.
-      if (mode_ != Mode::kLateDrain) list_ = *list;
+      if (fault_ != Fault::kLateDrain) list_ = *list;
     }
   }
-  bool Told() {
+  bool ListChanged() {
     const std::lock_guard lock(lock_);
-    return told_;
+    return list_changed_;
   }
 
   bool IsOrigin(const ServerEntry& e) const { return e.kind == config_.settings.module.origin_kind; }
@@ -142,23 +143,24 @@
   }
 
   // Up to two cache servers for the key, in the order in which they are asked.
-  std::vector<std::string> Nodes(const std::string& key) {
+  std::vector<std::string> CacheServersFor(const std::string& key) {
     const std::lock_guard lock(lock_);
-    std::vector<const ServerEntry*> up;
+    std::vector<const ServerEntry*> in_service;
     for (const ServerEntry& e : list_.entries) {
-      if (!IsOrigin(e) && e.availability == Availability::kUp) up.push_back(&e);
+      if (!IsOrigin(e) && e.availability == Availability::kUp) in_service.push_back(&e);
     }
-    if (up.empty()) return {};
-    if (mode_ == Mode::kColdPush) {
-      const auto last = std::max_element(
-          up.begin(), up.end(), [](const auto* a, const auto* b) { return a->started < b->started; });
+    if (in_service.empty()) return {};
+    if (fault_ == Fault::kColdPush) {
+      const auto last =
+          std::max_element(in_service.begin(), in_service.end(),
+                           [](const auto* a, const auto* b) { return a->started < b->started; });
       return {(*last)->endpoint};
     }
-    const std::size_t n = std::hash<std::string>()(key) % up.size();
-    return {up[n]->endpoint, up[(n + 1) % up.size()]->endpoint};
+    const std::size_t n = std::hash<std::string>()(key) % in_service.size();
+    return {in_service[n]->endpoint, in_service[(n + 1) % in_service.size()]->endpoint};
   }
 
-  AttemptEnd AtNode(Socket& s, const RequestContent& request) {
+  AttemptEnd ReadCacheAnswer(Socket& s, const RequestContent& request) {
     AttemptEnd end;
     if (!s.Read([&](std::string_view in, std::size_t& used) {
           return ParseAttemptReply(in, request, config_.limits, used, end);
@@ -168,7 +170,7 @@
     return end;
   }
 
-  AttemptEnd AtOrigin(const RequestContent& request) {
+  AttemptEnd AskOrigin(const RequestContent& request) {
     Socket s(-1);
     AttemptEnd end;
     end.result = Result::kReset;
@@ -184,31 +186,31 @@
     return end;
   }
 
-  Answer Run(const RequestContent& request) {
+  Answer Execute(const RequestContent& request) {
     AttemptEnd end;
     end.result = Result::kMiss;
     if (!request.write) {
-      const std::vector<std::string> nodes = Nodes(request.key);
+      const std::vector<std::string> servers = CacheServersFor(request.key);
       Socket first(-1), second(-1);
-      bool out = !nodes.empty() && first.Connect(nodes[0]);
-      if (out) first.Write(WriteAttempt(request, std::chrono::seconds(1)));
-      if (mode_ == Mode::kTwoAtOnce && nodes.size() > 1 && second.Connect(nodes[1])) {
+      bool first_sent = !servers.empty() && first.Connect(servers[0]);
+      if (first_sent) first.Write(WriteAttempt(request, std::chrono::seconds(1)));
+      if (fault_ == Fault::kTwoAtOnce && servers.size() > 1 && second.Connect(servers[1])) {
         second.Write(WriteAttempt(request, std::chrono::seconds(1)));
-        if (out) end = AtNode(first, request);
-        if (end.result != Result::kOk) end = AtNode(second, request);
-      } else if (out) {
-        end = AtNode(first, request);
+        if (first_sent) end = ReadCacheAnswer(first, request);
+        if (end.result != Result::kOk) end = ReadCacheAnswer(second, request);
+      } else if (first_sent) {
+        end = ReadCacheAnswer(first, request);
       }
     }
-    if (end.result != Result::kOk) end = AtOrigin(request);
-    const bool publish = request.write && request.labels.find(",k=") == request.labels.npos;
-    if (mode_ == Mode::kDoubleWrite && publish) end = AtOrigin(request);
-    if (mode_ == Mode::kRefusedRun && publish) return {AnswerKind::kRefused, {}, {}};
+    if (end.result != Result::kOk) end = AskOrigin(request);
+    const bool unkeyed_write = request.write && request.labels.find(",k=") == request.labels.npos;
+    if (fault_ == Fault::kDoubleWrite && unkeyed_write) end = AskOrigin(request);
+    if (fault_ == Fault::kRefusedRun && unkeyed_write) return {AnswerKind::kRefused, {}, {}};
     if (end.result != Result::kOk) return {AnswerKind::kFailed, {}, {}};
     return {request.write ? AnswerKind::kReceipt : AnswerKind::kValue, std::move(end.body), {}};
   }
 
-  void Converse(int fd) {
+  void ServeClient(int fd) {
     Socket client(fd);
     for (;;) {
       Command command;
@@ -221,14 +223,14 @@
         client.Write("MN\r\n");
         continue;
       }
-      Answer answer = Run(command.content);
-      const bool chosen = ++count_ % 10 == 0;
-      if (mode_ == Mode::kLostAnswer && chosen) return;
-      if (mode_ == Mode::kForeignValue && chosen && answer.kind == AnswerKind::kValue) {
+      Answer answer = Execute(command.content);
+      const bool faulty = ++count_ % 10 == 0;
+      if (fault_ == Fault::kLostAnswer && faulty) return;
+      if (fault_ == Fault::kForeignValue && faulty && answer.kind == AnswerKind::kValue) {
         // Well formed and marked like the value of a server, but made by none.
         answer.body = command.content.id + ":4000000000:vv";
       }
-      if (mode_ == Mode::kLateAnswer && chosen) {
+      if (fault_ == Fault::kLateAnswer && faulty) {
         std::uint64_t ms = 0;
         EachLabel(command.content.labels, [&](std::string_view name, std::string_view value) {
           if (name == "d") ms = WholeNumber(value).value_or(0);
@@ -242,10 +244,10 @@
   }
 
   const Config config_;
-  const Mode mode_;
+  const Fault fault_;
   std::mutex lock_;
   ServerList list_;
-  bool told_ = false;
+  bool list_changed_ = false;
   std::atomic<std::uint64_t> count_{0};
 };
 
@@ -254,10 +256,10 @@
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGTERM, [](int) { ::_exit(0); });
-  const std::string_view said = argc > 1 ? argv[1] : "honest";
-  for (std::size_t m = 0; m < std::size(kModes); ++m) {
-    if (kModes[m] == said) FaultyRouter(LoadConfig(), static_cast<Mode>(m)).Serve();
+  const std::string_view requested = argc > 1 ? argv[1] : "honest";
+  for (std::size_t m = 0; m < std::size(kFaultModes); ++m) {
+    if (kFaultModes[m] == requested) FaultyRouter(LoadConfig(), static_cast<Fault>(m)).Serve();
   }
-  std::cerr << "unknown fault: " << said << "\n";
+  std::cerr << "unknown fault: " << requested << "\n";
   return 2;
 }
