--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-const std::string kLeast = "length_s = 20\nwarm_up_s = 1\n[[class]]\nname = 'read'\n[[nodes]]\n";
+const std::string kMinimalScenario = "length_s = 20\nwarm_up_s = 1\n[[class]]\nname = 'read'\n[[nodes]]\n";
 
-std::string Wrong(const std::string& text, const Overrides& overrides = {}) {
+std::string ErrorsOf(const std::string& text, const Overrides& overrides = {}) {
   try {
     ReadScenario(text, "s.toml", overrides);
   } catch (const BadScenario& e) {
@@ -31,7 +31,7 @@
   return {};
 }
 
-std::vector<Arrival> All(const Scenario& s) {
+std::vector<Arrival> AllArrivals(const Scenario& s) {
   std::vector<Arrival> all;
   Schedule schedule(s);
   while (const auto a = schedule.Next()) all.push_back(*a);
@@ -41,20 +41,25 @@
 }  // namespace
 
 TEST_CASE("errors in a scenario are reported with their lines, all at once") {
-  CHECK(Wrong(kLeast).empty());
+  CHECK(ErrorsOf(kMinimalScenario).empty());
   const std::pair<std::string, std::string> cases[] = {
-      {"lenght_s = 3\n" + kLeast, "s.toml:1:12: lenght_s: is not known here; did you mean 'length_s'?"},
-      {"seed = 'x'\n" + kLeast, "s.toml:1:8: seed: must be a whole number"},
+      {"lenght_s = 3\n" + kMinimalScenario,
+       "s.toml:1:12: lenght_s: is not known here; did you mean 'length_s'?"},
+      {"seed = 'x'\n" + kMinimalScenario, "s.toml:1:8: seed: must be a whole number"},
       {"length_s = 99999\n[[class]]\n[[nodes]]\n", "s.toml:1:12: length_s: must lie between 0.5 and 3600"},
-      {kLeast + "[load]\nrate = 'fast'\n", "s.toml:7:8: load.rate: must be a number"},
-      {kLeast + "[load]\npool = 'none'\n", "load.pool: is 'none' and must be one of keep, drop, hoard"},
-      {kLeast + "[load]\nhall_share = [1, 2]\n", "load.hall_share: must have one entry for each hall"},
-      {kLeast + "[[fault]]\nat_s = 1\n", "fault[0].kind: is missing"},
-      {kLeast + "[[fault]]\nkind = 'hang'\nat_s = 1\n", "fault[0].part: is missing"},
-      {kLeast + "[[fault]]\nkind = 'hang'\ncount = 1\npart = 0.5\n", "fault[0].count: contradicts part"},
-      {kLeast + "[[fault]]\nkind = 'origin_stop'\nat_s = 21\n",
+      {kMinimalScenario + "[load]\nrate = 'fast'\n", "s.toml:7:8: load.rate: must be a number"},
+      {kMinimalScenario + "[load]\npool = 'none'\n",
+       "load.pool: is 'none' and must be one of keep, drop, hoard"},
+      {kMinimalScenario + "[load]\nhall_share = [1, 2]\n",
+       "load.hall_share: must have one entry for each hall"},
+      {kMinimalScenario + "[[fault]]\nat_s = 1\n", "fault[0].kind: is missing"},
+      {kMinimalScenario + "[[fault]]\nkind = 'hang'\nat_s = 1\n", "fault[0].part: is missing"},
+      {kMinimalScenario + "[[fault]]\nkind = 'hang'\ncount = 1\npart = 0.5\n",
+       "fault[0].count: contradicts part"},
+      {kMinimalScenario + "[[fault]]\nkind = 'origin_stop'\nat_s = 21\n",
        "s.toml:8:8: fault[0].at_s: lies behind the end"},
-      {kLeast + "[[fault]]\nkind = 'hall_cut'\nhall = 'x'\n", "fault[0].hall: 'x' is not among the halls"},
+      {kMinimalScenario + "[[fault]]\nkind = 'hall_cut'\nhall = 'x'\n",
+       "fault[0].hall: 'x' is not among the halls"},
       {"warm_up_s = 5\nlength_s = 5\n[[class]]\n[[nodes]]\n", "warm_up_s: is not less than length_s"},
       {"length_s = 20\n[[nodes]]\n", "class: is missing"},
       {"[[class]]\nrepeats = 'never'\n[[nodes]]\n",
@@ -62,23 +67,24 @@
       {"class = 3\n[[nodes]]\n", "class: must be an array of tables, written [[class]]"},
       {"length_s = \n", "s.toml:1:12:"},
   };
-  for (const auto& [text, said] : cases) {
+  for (const auto& [text, message] : cases) {
     INFO(text);
-    CHECK_THAT(Wrong(text), Catch::Contains(said));
+    CHECK_THAT(ErrorsOf(text), Catch::Contains(message));
   }
-  const std::string two = Wrong("seed = 'x'\nlenght_s = 1\n" + kLeast);
+  const std::string two = ErrorsOf("seed = 'x'\nlenght_s = 1\n" + kMinimalScenario);
   CHECK(std::count(two.begin(), two.end(), '\n') == 1);
 }
 
 TEST_CASE("a study's overrides take precedence over the file and are checked in the same way") {
-  const Scenario s = ReadScenario(kLeast, "s.toml", {"load.rate=7.5", "nodes.0.cores=9", "origin.cores=3"});
+  const Scenario s =
+      ReadScenario(kMinimalScenario, "s.toml", {"load.rate=7.5", "nodes.0.cores=9", "origin.cores=3"});
   CHECK(s.load.rate == 7.5);
   CHECK(s.nodes[0].cores == 9);
   CHECK(s.origin.cores == 3);
-  CHECK_THAT(Wrong(kLeast, {"load.rat=7"}),
+  CHECK_THAT(ErrorsOf(kMinimalScenario, {"load.rat=7"}),
              Catch::Contains("load.rat: is not known here; did you mean 'rate'?"));
-  CHECK_THAT(Wrong(kLeast, {"load.rate"}), Catch::Contains("not of the form key=value"));
-  CHECK_THAT(Wrong(kLeast, {"nodes.4.cores=1"}), Catch::Contains("there are not so many"));
+  CHECK_THAT(ErrorsOf(kMinimalScenario, {"load.rate"}), Catch::Contains("not of the form key=value"));
+  CHECK_THAT(ErrorsOf(kMinimalScenario, {"nodes.4.cores=1"}), Catch::Contains("there are not so many"));
 }
 
 TEST_CASE("every scenario in lab/scenarios is valid") {
@@ -93,7 +99,8 @@
 
 TEST_CASE("the same seed gives the same schedule, another seed a different one") {
   const auto read = [](const std::string& seed) {
-    return All(ReadScenario("seed = " + seed + "\n" + kLeast + "[load]\nrate = 400\nkeys = 100\n", "s"));
+    return AllArrivals(
+        ReadScenario("seed = " + seed + "\n" + kMinimalScenario + "[load]\nrate = 400\nkeys = 100\n", "s"));
   };
   const auto a = read("5"), b = read("5"), c = read("6");
   REQUIRE(a.size() == b.size());
@@ -108,13 +115,13 @@
 
 TEST_CASE("the schedule contains bursts, hot keys and steady arrivals") {
   const Scenario s =
-      ReadScenario(kLeast +
+      ReadScenario(kMinimalScenario +
                        "[load]\nrate = 100\narrivals = 'steady'\nkeys = 1000\n"
                        "[[fault]]\nkind = 'burst'\nat_s = 4\nfor_s = 2\nsize = 3\n"
                        "[[fault]]\nkind = 'hot_key'\nat_s = 10\nfor_s = 5\nshare = 0.5\nsize = 1\n",
                    "s");
   int in_burst = 0, before = 0, hot = 0, hot_before = 0;
-  for (const Arrival& a : All(s)) {
+  for (const Arrival& a : AllArrivals(s)) {
     before += a.at < std::chrono::seconds(2);
     in_burst += a.at >= std::chrono::seconds(4) && a.at < std::chrono::seconds(6);
     hot += a.key == 500 && a.at >= std::chrono::seconds(10) && a.at < std::chrono::seconds(15);
@@ -275,6 +282,6 @@
   for (const char* fault : {"kind = \"clock\"\npart = 1", "kind = \"calls\"\nshare = 0.1",
                             "kind = \"held_up\"\npart = 1\nhold_ms = 900", "kind = \"calls\"\nshare = 2"}) {
     INFO(fault);
-    CHECK_FALSE(Wrong(kLeast + "[[fault]]\n" + fault).empty());
+    CHECK_FALSE(ErrorsOf(kMinimalScenario + "[[fault]]\n" + fault).empty());
   }
 }
