--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -112,44 +112,48 @@
   const Arrival& a = states_[intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
   const Duration left = truth_.intents[intent].at + plan.give_up - loop_.Now();
-  TryRecord t;
-  t.id = id;
-  t.intent = intent;
-  t.number = static_cast<std::uint8_t>(number);
-  t.resent = resent;
-  t.timeout = std::min(left, Duration(static_cast<std::int64_t>(static_cast<double>(plan.give_up.count()) *
-                                                                scenario_.load.try_share)));
-  t.timeout = std::max<Duration>(std::chrono::milliseconds(1), t.timeout / 1000000 * 1000000);
-  truth_.tries.push_back(t);
-  const auto record = static_cast<long long>(truth_.tries.size() - 1);
-  Connection* c = nullptr;
+  TryRecord client_try;
+  client_try.id = id;
+  client_try.intent = intent;
+  client_try.number = static_cast<std::uint8_t>(number);
+  client_try.resent = resent;
+  client_try.timeout =
+      std::min(left, Duration(static_cast<std::int64_t>(static_cast<double>(plan.give_up.count()) *
+                                                        scenario_.load.try_share)));
+  client_try.timeout =
+      std::max<Duration>(std::chrono::milliseconds(1), client_try.timeout / 1000000 * 1000000);
+  truth_.tries.push_back(client_try);
+  const auto try_index = static_cast<long long>(truth_.tries.size() - 1);
+  Connection* connection = nullptr;
   auto& idle = idle_[a.client];
   if (!resent && !idle.empty()) {
-    c = connections_.Find(idle.back())->get();
+    connection = connections_.Find(idle.back())->get();
     idle.pop_back();
-    loop_.deadlines().Drop(c->deadline);
+    loop_.deadlines().Drop(connection->deadline);
   }
-  if (c != nullptr) {
-    c->try_index = record;
-    WriteTry(*c);
+  if (connection != nullptr) {
+    connection->try_index = try_index;
+    WriteTry(*connection);
     return;
   }
   const int router = PickRouter(a.hall);
   truth_.tries.back().router = static_cast<std::int16_t>(router);
-  c = Open(router, a.client, false);
-  if (c == nullptr) {  // refused at once, or this process has no file descriptor left
+  connection = Open(router, a.client, false);
+  if (connection == nullptr) {  // refused at once, or this process has no file descriptor left
     truth_.tries.back().end = TryEnd::kUnreachable;
     truth_.tries.back().ended = loop_.Now();
-    loop_.deadlines().Set(
-        loop_.Now(), [this, record] { RetryOrFinish(truth_.tries[static_cast<std::size_t>(record)]); });
+    loop_.deadlines().Set(loop_.Now(), [this, try_index] {
+      RetryOrFinish(truth_.tries[static_cast<std::size_t>(try_index)]);
+    });
     return;
   }
-  c->try_index = record;
-  c->deadline = loop_.deadlines().Set(loop_.Now() + t.timeout, [this, conn = c->id] {
-    Connection& at = **connections_.Find(conn);
-    at.deadline = {};
-    EndTry(at, TryEnd::kUnreachable);
-  });
+  connection->try_index = try_index;
+  connection->deadline =
+      loop_.deadlines().Set(loop_.Now() + client_try.timeout, [this, conn = connection->id] {
+        Connection& at = **connections_.Find(conn);
+        at.deadline = {};
+        EndTry(at, TryEnd::kUnreachable);
+      });
 }
 
 Load::Connection* Load::Open(int router, std::uint32_t client, bool flood) {
@@ -166,15 +170,15 @@
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   (void)!::bind(fd, reinterpret_cast<const sockaddr*>(&from), sizeof from);
   auto owned = std::make_unique<Connection>();
-  Connection& c = *owned;
-  c.load = this;
-  c.router = router;
-  c.client = client;
-  c.flood = flood;
-  c.buffer.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
-  c.id = connections_.Add(std::move(owned));
+  Connection& connection = *owned;
+  connection.load = this;
+  connection.router = router;
+  connection.client = client;
+  connection.flood = flood;
+  connection.buffer.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
+  connection.id = connections_.Add(std::move(owned));
   bufferevent_setcb(
-      c.buffer.get(),
+      connection.buffer.get(),
       [](bufferevent*, void* p) {
         auto* at = static_cast<Connection*>(p);
         at->load->OnRead(*at);
@@ -184,13 +188,13 @@
         auto* at = static_cast<Connection*>(p);
         at->load->OnEvent(*at, what);
       },
-      &c);
-  bufferevent_enable(c.buffer.get(), EV_READ | EV_WRITE);
-  const std::uint64_t id = c.id;
+      &connection);
+  bufferevent_enable(connection.buffer.get(), EV_READ | EV_WRITE);
+  const std::uint64_t id = connection.id;
   const sockaddr_in& to = routers_[static_cast<std::size_t>(router)];
   // If the connection was refused at once, OnEvent may have closed and removed it already.
-  const bool begun =
-      bufferevent_socket_connect(c.buffer.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
+  const bool begun = bufferevent_socket_connect(connection.buffer.get(),
+                                                reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
   auto* held = connections_.Find(id);
   if (held == nullptr) return nullptr;
   if (!begun) {
@@ -201,13 +205,13 @@
   return held->get();
 }
 
-void Load::WriteTry(Connection& c) {
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
-  const Arrival& a = states_[t.intent].arrival;
+void Load::WriteTry(Connection& connection) {
+  TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
+  const Arrival& a = states_[client_try.intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(t.timeout).count();
-  std::string labels = " O" + IdText(t.id) + " Pc=" + plan.name + ",t=" + scenario_.tenants[a.tenant].name +
-                       ",d=" + std::to_string(ms);
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(client_try.timeout).count();
+  std::string labels = " O" + IdText(client_try.id) + " Pc=" + plan.name +
+                       ",t=" + scenario_.tenants[a.tenant].name + ",d=" + std::to_string(ms);
   std::string text = (plan.write ? "ms " : "mg ") + KeyName(a.key);
   if (plan.write) {
     if (plan.repeats == Repeats::kKeyed) labels += ",k=" + IdText(a.id);
@@ -215,120 +219,124 @@
   } else {
     text += " v" + labels + "\r\n";
   }
-  t.router = static_cast<std::int16_t>(c.router);
-  t.pooled = c.reused;
-  t.sent = loop_.Now();
+  client_try.router = static_cast<std::int16_t>(connection.router);
+  client_try.pooled = connection.reused;
+  client_try.sent = loop_.Now();
   ++sent_;
-  bufferevent_write(c.buffer.get(), text.data(), text.size());
-  const Duration longest = t.timeout + scenario_.rules.answer_slack + kExtraWait;
-  c.deadline = loop_.deadlines().Set(t.sent + longest, [this, id = c.id] {
+  bufferevent_write(connection.buffer.get(), text.data(), text.size());
+  const Duration longest = client_try.timeout + scenario_.rules.answer_slack + kExtraWait;
+  connection.deadline = loop_.deadlines().Set(client_try.sent + longest, [this, id = connection.id] {
     Connection& at = **connections_.Find(id);
     at.deadline = {};
     EndTry(at, TryEnd::kOpen);
   });
-  MaybeLeave(c);
+  MaybeLeave(connection);
 }
 
 // Lets the client leave before the answer, if a fault says so: at a random moment of its wait, also right
 // after its last byte.
-void Load::MaybeLeave(const Connection& c) {
-  const TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
+void Load::MaybeLeave(const Connection& connection) {
+  const TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
   for (const FaultPlan& f : scenario_.faults) {
-    if (f.kind != FaultKind::kLeave || !Active(f, t.sent - start_) || !Chance(rng_, f.share)) continue;
+    if (f.kind != FaultKind::kLeave || !Active(f, client_try.sent - start_) || !Chance(rng_, f.share))
+      continue;
     const double share = Unit(rng_) * Unit(rng_);
     const Time at =
-        t.sent + Duration(static_cast<std::int64_t>(static_cast<double>(t.timeout.count()) * share));
-    (*connections_.Find(c.id))->leave_timer = loop_.deadlines().Set(at, [this, id = c.id] {
-      Connection& leaving = **connections_.Find(id);
-      leaving.leave_timer = {};
-      EndTry(leaving, TryEnd::kLeft);
-    });
+        client_try.sent +
+        Duration(static_cast<std::int64_t>(static_cast<double>(client_try.timeout.count()) * share));
+    (*connections_.Find(connection.id))->leave_timer =
+        loop_.deadlines().Set(at, [this, id = connection.id] {
+          Connection& leaving = **connections_.Find(id);
+          leaving.leave_timer = {};
+          EndTry(leaving, TryEnd::kLeft);
+        });
     return;
   }
 }
 
-void Load::OnRead(Connection& c) {
-  if (c.flood) {
-    evbuffer* in = bufferevent_get_input(c.buffer.get());
+void Load::OnRead(Connection& connection) {
+  if (connection.flood) {
+    evbuffer* in = bufferevent_get_input(connection.buffer.get());
     evbuffer_drain(in, evbuffer_get_length(in));
     return;
   }
-  if (c.try_index < 0) return Close(c.id);  // data without a request
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
+  if (connection.try_index < 0) return Close(connection.id);  // data without a request
+  TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
   std::size_t used = 0;
   ClientAnswer answer;
-  const Parsed got = ParseClientAnswer(Gathered(c.buffer.get()), t.id, used, answer);
+  const Parsed got = ParseClientAnswer(Gathered(connection.buffer.get()), client_try.id, used, answer);
   if (got == Parsed::kMore) return;
-  if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(c.buffer.get()), used);
-  t.serial = answer.serial;
-  t.retry_after = answer.retry_after;
-  EndTry(c, got == Parsed::kDone ? answer.end : TryEnd::kBad);
+  if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
+  client_try.serial = answer.serial;
+  client_try.retry_after = answer.retry_after;
+  EndTry(connection, got == Parsed::kDone ? answer.end : TryEnd::kBad);
 }
 
-void Load::OnEvent(Connection& c, short what) {
+void Load::OnEvent(Connection& connection, short what) {
   if (what & BEV_EVENT_CONNECTED) {
-    c.connected = true;
-    if (c.crowd) bufferevent_write(c.buffer.get(), kReadyProbe.data(), kReadyProbe.size());
-    if (c.flood) return;
-    loop_.deadlines().Drop(c.deadline);
-    return WriteTry(c);
+    connection.connected = true;
+    if (connection.crowd)
+      bufferevent_write(connection.buffer.get(), kReadyProbe.data(), kReadyProbe.size());
+    if (connection.flood) return;
+    loop_.deadlines().Drop(connection.deadline);
+    return WriteTry(connection);
   }
-  if (c.flood) {
+  if (connection.flood) {
     // A connection of a flood is opened again at once when it is closed, one of a crowd after a second.
-    const std::chrono::milliseconds away(c.crowd ? 1000 : 1);
-    loop_.deadlines().Set(loop_.Now() + away, [this, router = c.router, crowd = c.crowd] {
+    const std::chrono::milliseconds away(connection.crowd ? 1000 : 1);
+    loop_.deadlines().Set(loop_.Now() + away, [this, router = connection.router, crowd = connection.crowd] {
       OpenFloodConnection(router, crowd);
     });
-    Close(c.id);
+    Close(connection.id);
     return;
   }
-  if (c.try_index < 0) return Close(c.id);
-  const TryRecord t = truth_.tries[static_cast<std::size_t>(c.try_index)];
-  const bool nothing_came = evbuffer_get_length(bufferevent_get_input(c.buffer.get())) == 0;
-  if (c.connected && c.reused && nothing_came && !t.resent) {
+  if (connection.try_index < 0) return Close(connection.id);
+  const TryRecord client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
+  const bool nothing_came = evbuffer_get_length(bufferevent_get_input(connection.buffer.get())) == 0;
+  if (connection.connected && connection.reused && nothing_came && !client_try.resent) {
     // A reused connection that closed while the command was in transit: sent again on a new connection.
-    TryRecord& crossed = truth_.tries[static_cast<std::size_t>(c.try_index)];
+    TryRecord& crossed = truth_.tries[static_cast<std::size_t>(connection.try_index)];
     crossed.end = TryEnd::kClosed;
     crossed.ended = loop_.Now();
     ++truth_.crossed;
-    Close(c.id);
-    return StartTry(t.intent, t.id, t.number, true);
+    Close(connection.id);
+    return StartTry(client_try.intent, client_try.id, client_try.number, true);
   }
-  EndTry(c, c.connected ? TryEnd::kClosed : TryEnd::kUnreachable);
+  EndTry(connection, connection.connected ? TryEnd::kClosed : TryEnd::kUnreachable);
 }
 
 // Records the end of the try on this connection, and reuses or closes the connection.
-void Load::EndTry(Connection& c, TryEnd end) {
-  TryRecord& t = truth_.tries[static_cast<std::size_t>(c.try_index)];
-  t.end = end;
-  t.ended = loop_.Now();
-  c.try_index = -1;
-  loop_.deadlines().Drop(c.deadline);
-  loop_.deadlines().Drop(c.leave_timer);
-  const TryRecord done = t;
+void Load::EndTry(Connection& connection, TryEnd end) {
+  TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
+  client_try.end = end;
+  client_try.ended = loop_.Now();
+  connection.try_index = -1;
+  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Drop(connection.leave_timer);
+  const TryRecord done = client_try;
   const bool complete = end == TryEnd::kValue || end == TryEnd::kReceipt || end == TryEnd::kBusy ||
                         end == TryEnd::kFailed || end == TryEnd::kError;
   if (complete && scenario_.load.pool != Pool::kDrop) {
-    KeepConnection(c);
+    KeepConnection(connection);
   } else {
     if (end == TryEnd::kUnreachable) {
-      down_until_[static_cast<std::size_t>(c.router)] = loop_.Now() + scenario_.load.notice;
+      down_until_[static_cast<std::size_t>(connection.router)] = loop_.Now() + scenario_.load.notice;
     }
-    Close(c.id);
+    Close(connection.id);
   }
   RetryOrFinish(done);
 }
 
 // After a try has ended: sends a further try, now or after a backoff, or ends the intent.
-void Load::RetryOrFinish(const TryRecord& t) {
-  Intent& intent = truth_.intents[t.intent];
-  IntentState& state = states_[t.intent];
+void Load::RetryOrFinish(const TryRecord& client_try) {
+  Intent& intent = truth_.intents[client_try.intent];
+  IntentState& state = states_[client_try.intent];
   const ClassPlan& plan = scenario_.classes[intent.request_class];
   const Time now = loop_.Now();
-  const bool served = t.end == TryEnd::kValue || t.end == TryEnd::kReceipt;
-  const bool unreachable = t.end == TryEnd::kUnreachable;
-  bool retry = !served && t.end != TryEnd::kLeft;
-  if (plan.repeats == Repeats::kNever) retry = retry && (t.end == TryEnd::kBusy || unreachable);
+  const bool served = client_try.end == TryEnd::kValue || client_try.end == TryEnd::kReceipt;
+  const bool unreachable = client_try.end == TryEnd::kUnreachable;
+  bool retry = !served && client_try.end != TryEnd::kLeft;
+  if (plan.repeats == Repeats::kNever) retry = retry && (client_try.end == TryEnd::kBusy || unreachable);
   if (plan.repeats == Repeats::kKeyed) retry = retry && now < intent.at + plan.window;
   retry = retry &&
           (unreachable ? ++state.unreachable <= kMaxUnreachable : state.tries < scenario_.load.retries);
@@ -337,10 +345,10 @@
     ++state.tries;
     wait = Duration(static_cast<std::int64_t>(static_cast<double>(scenario_.load.backoff.count()) *
                                               (0.5 + Unit(rng_)) * (1 << std::min(state.tries - 1, 10))));
-    if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, t.retry_after);
+    if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, client_try.retry_after);
   }
   if (retry && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
-    loop_.deadlines().Set(now + wait, [this, n = t.intent] { StartNextTry(n); });
+    loop_.deadlines().Set(now + wait, [this, n = client_try.intent] { StartNextTry(n); });
     return;
   }
   intent.done = true;
@@ -350,24 +358,25 @@
   served_ += served;
 }
 
-void Load::KeepConnection(Connection& c) {
-  c.reused = true;
-  c.deadline = loop_.deadlines().Set(loop_.Now() + scenario_.load.client_idle, [this, id = c.id] {
-    (*connections_.Find(id))->deadline = {};
-    Close(id);
-  });
+void Load::KeepConnection(Connection& connection) {
+  connection.reused = true;
+  connection.deadline =
+      loop_.deadlines().Set(loop_.Now() + scenario_.load.client_idle, [this, id = connection.id] {
+        (*connections_.Find(id))->deadline = {};
+        Close(id);
+      });
   // With Pool::kHoard connections stay open and are never reused.
-  if (scenario_.load.pool == Pool::kKeep) idle_[c.client].push_back(c.id);
+  if (scenario_.load.pool == Pool::kKeep) idle_[connection.client].push_back(connection.id);
 }
 
 void Load::Close(std::uint64_t id) {
   auto* held = connections_.Find(id);
   if (held == nullptr) return;
-  const std::unique_ptr<Connection> c = std::move(*held);
+  const std::unique_ptr<Connection> connection = std::move(*held);
   connections_.Remove(id);
-  loop_.deadlines().Drop(c->deadline);
-  loop_.deadlines().Drop(c->leave_timer);
-  std::erase(idle_[c->client], id);
+  loop_.deadlines().Drop(connection->deadline);
+  loop_.deadlines().Drop(connection->leave_timer);
+  std::erase(idle_[connection->client], id);
 }
 
 void Load::StartFlood(const FaultPlan& fault) {
@@ -380,8 +389,8 @@
   loop_.deadlines().Set(start_ + fault.at + fault.length, [this, crowd, &on] {
     on = false;
     std::vector<std::uint64_t> all;
-    connections_.Each([&](std::uint64_t id, auto& c) {
-      if (c->flood && c->crowd == crowd) all.push_back(id);
+    connections_.Each([&](std::uint64_t id, auto& connection) {
+      if (connection->flood && connection->crowd == crowd) all.push_back(id);
     });
     for (const std::uint64_t id : all) Close(id);
   });
@@ -389,7 +398,7 @@
 
 void Load::OpenFloodConnection(int router, bool crowd) {
   if (crowd ? !crowd_on_ : !flood_on_) return;
-  if (Connection* c = Open(router, 0, true)) c->crowd = crowd;
+  if (Connection* connection = Open(router, 0, true)) connection->crowd = crowd;
 }
 
 }  // namespace brasswood::lab
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -31,21 +31,25 @@
 bool Served(TryEnd end) { return end == TryEnd::kValue || end == TryEnd::kReceipt; }
 
 // Whether the attempt may have had an effect, as far as its router could tell.
-bool MayHaveRun(const AttemptRecord& c) { return c.fate != Fate::kTurnedAway && c.fate != Fate::kMiss; }
+bool MayHaveRun(const AttemptRecord& attempt) {
+  return attempt.fate != Fate::kTurnedAway && attempt.fate != Fate::kMiss;
+}
 
 class RuleChecker {
  public:
   explicit RuleChecker(const Truth& truth)
       : truth_(truth), slack_(kSocketSlack + truth.world.lag + truth.load.late_max) {
-    for (const TryRecord& t : truth.load.tries) requests_[t.id].last_try = &t;
-    for (const AttemptRecord& c : truth.world.attempts) requests_[c.request].attempts.push_back(&c);
+    for (const TryRecord& client_try : truth.load.tries) requests_[client_try.id].last_try = &client_try;
+    for (const AttemptRecord& attempt : truth.world.attempts)
+      requests_[attempt.request].attempts.push_back(&attempt);
   }
 
   std::vector<Breach> Check() {
-    for (const TryRecord& t : truth_.load.tries) CheckAnswer(t, requests_[t.id]);
-    for (const TryRecord& t : truth_.load.tries) CheckAttemptsAfterLeaving(t, requests_[t.id]);
+    for (const TryRecord& client_try : truth_.load.tries) CheckAnswer(client_try, requests_[client_try.id]);
+    for (const TryRecord& client_try : truth_.load.tries)
+      CheckAttemptsAfterLeaving(client_try, requests_[client_try.id]);
     CheckAnswersWithoutLength();
-    for (const auto& [id, r] : requests_) CheckAttempts(id, r);
+    for (const auto& [id, history] : requests_) CheckAttempts(id, history);
     CheckDrains();
     CheckOverload();
     std::sort(breaches_.begin(), breaches_.end(), [](const Breach& a, const Breach& b) {
@@ -55,15 +59,16 @@
   }
 
  private:
-  void Add(Rule rule, RequestId id, int machine, Time at, std::string what) {
-    breaches_.push_back({rule, id, machine, at, std::move(what)});
+  void Add(Rule rule, RequestId id, int server, Time at, std::string what) {
+    breaches_.push_back({rule, id, server, at, std::move(what)});
   }
 
   // Whether an injected fault took the try's router down while the try was open.
-  bool RouterWasDown(const TryRecord& t, Time until) const {
+  bool RouterWasDown(const TryRecord& client_try, Time until) const {
     return std::any_of(truth_.absences.begin(), truth_.absences.end(), [&](const Absence& a) {
-      const bool late = a.asked != Time(0) && t.sent > a.asked + kShutdownGrace && t.sent < a.from;
-      return !late && a.router == t.router && t.sent <= a.until && until >= a.from;
+      const bool late =
+          a.asked != Time(0) && client_try.sent > a.asked + kShutdownGrace && client_try.sent < a.from;
+      return !late && a.router == client_try.router && client_try.sent <= a.until && until >= a.from;
     });
   }
 
@@ -77,26 +82,28 @@
     return all;
   }
 
-  void CheckAttemptsAfterLeaving(const TryRecord& t, const RequestHistory& r) {
-    if (t.end != TryEnd::kLeft) return;
-    for (const AttemptRecord* c : r.attempts) {
-      const Duration after = c->first - t.ended;
-      if (after <= kMaxStartAfterLeave + slack_ + SuspendedFor(t.router, t.ended, c->first)) continue;
-      Add(Rule::kAnswer, t.id, c->machine, c->first,
-          "an attempt began " + InMs(after) + " after its client left");
+  void CheckAttemptsAfterLeaving(const TryRecord& client_try, const RequestHistory& history) {
+    if (client_try.end != TryEnd::kLeft) return;
+    for (const AttemptRecord* attempt : history.attempts) {
+      const Duration delay = attempt->first - client_try.ended;
+      if (delay <=
+          kMaxStartAfterLeave + slack_ + SuspendedFor(client_try.router, client_try.ended, attempt->first))
+        continue;
+      Add(Rule::kAnswer, client_try.id, attempt->machine, attempt->first,
+          "an attempt began " + InMs(delay) + " after its client left");
     }
   }
 
   void CheckAnswersWithoutLength() {
     std::size_t whole = 0, passed = 0;
-    for (const TryRecord& t : truth_.load.tries) {
-      for (const AttemptRecord* c : requests_[t.id].attempts) {
-        const Time due = t.sent + t.timeout;
-        if (!c->no_length || t.end == TryEnd::kLeft || c->end > std::min(due, t.ended) ||
-            RouterWasDown(t, due))
+    for (const TryRecord& client_try : truth_.load.tries) {
+      for (const AttemptRecord* attempt : requests_[client_try.id].attempts) {
+        const Time due = client_try.sent + client_try.timeout;
+        if (!attempt->no_length || client_try.end == TryEnd::kLeft ||
+            attempt->end > std::min(due, client_try.ended) || RouterWasDown(client_try, due))
           continue;
         ++whole;
-        passed += Served(t.end) && c->serial == t.serial;
+        passed += Served(client_try.end) && attempt->serial == client_try.serial;
       }
     }
     if (whole < kMinAnswersWithoutLength || 2 * passed >= whole) return;
@@ -105,91 +112,103 @@
             std::to_string(passed) + " were passed on");
   }
 
-  void CheckAnswer(const TryRecord& t, const RequestHistory& r) {
+  void CheckAnswer(const TryRecord& client_try, const RequestHistory& history) {
     // Never sent, cut off by the end of an interrupted run, or given up by its client.
-    if (t.sent == Time(0) || t.ended == Time(0) || t.end == TryEnd::kLeft) return;
-    const Time due = t.sent + t.timeout + truth_.scenario.rules.answer_slack + slack_ +
-                     SuspendedFor(t.router, t.sent, t.ended);
-    if (RouterWasDown(t, t.ended)) return;
-    switch (t.end) {
+    if (client_try.sent == Time(0) || client_try.ended == Time(0) || client_try.end == TryEnd::kLeft)
+      return;
+    const Time due = client_try.sent + client_try.timeout + truth_.scenario.rules.answer_slack + slack_ +
+                     SuspendedFor(client_try.router, client_try.sent, client_try.ended);
+    if (RouterWasDown(client_try, client_try.ended)) return;
+    switch (client_try.end) {
       case TryEnd::kOpen:
-        return Add(Rule::kAnswer, t.id, -1, due, "no answer until its client gave up");
+        return Add(Rule::kAnswer, client_try.id, -1, due, "no answer until its client gave up");
       case TryEnd::kClosed:
         // A router may close an idle connection, so a request that it had not sent on is not lost: its
         // client sends it again. It is lost when that was already the second connection, when the
         // connection was new, or when an attempt had been sent.
-        if (t.resent || !t.pooled ||
-            std::any_of(r.attempts.begin(), r.attempts.end(),
-                        [&](const AttemptRecord* c) { return c->whole <= t.ended; })) {
-          Add(Rule::kAnswer, t.id, -1, t.ended, "the connection was closed without an answer");
+        if (client_try.resent || !client_try.pooled ||
+            std::any_of(history.attempts.begin(), history.attempts.end(),
+                        [&](const AttemptRecord* attempt) { return attempt->whole <= client_try.ended; })) {
+          Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+              "the connection was closed without an answer");
         }
         return;
       case TryEnd::kBad:
-        return Add(Rule::kAnswer, t.id, -1, t.ended,
+        return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
                    "the answer is malformed or belongs to another request");
       case TryEnd::kError:
-        return Add(Rule::kAnswer, t.id, -1, t.ended, "a valid command was answered with a client error");
+        return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+                   "a valid command was answered with a client error");
       case TryEnd::kUnreachable:
         return;
       default:
         break;
     }
-    if (t.ended > due) {
-      Add(Rule::kAnswer, t.id, -1, t.ended,
-          "answered " + InMs(t.ended - t.sent) + " after it was sent; its deadline is " + InMs(t.timeout));
+    if (client_try.ended > due) {
+      Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+          "answered " + InMs(client_try.ended - client_try.sent) + " after it was sent; its deadline is " +
+              InMs(client_try.timeout));
     }
-    if (Served(t.end)) {
-      const bool made = std::any_of(r.attempts.begin(), r.attempts.end(), [&](const AttemptRecord* c) {
-        return c->serial == t.serial && (c->fate == Fate::kHit || c->fate == Fate::kServed);
-      });
-      if (!made) Add(Rule::kAnswer, t.id, -1, t.ended, "the value or receipt was made by no server for it");
+    if (Served(client_try.end)) {
+      const bool made =
+          std::any_of(history.attempts.begin(), history.attempts.end(), [&](const AttemptRecord* attempt) {
+            return attempt->serial == client_try.serial &&
+                   (attempt->fate == Fate::kHit || attempt->fate == Fate::kServed);
+          });
+      if (!made)
+        Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+            "the value or receipt was made by no server for it");
     }
   }
 
-  void CheckAttempts(RequestId id, const RequestHistory& r) {
-    if (r.last_try == nullptr) {
-      for (const AttemptRecord* c : r.attempts) {
-        Add(Rule::kOnce, id, c->machine, c->whole, "an attempt without a client's request");
+  void CheckAttempts(RequestId id, const RequestHistory& history) {
+    if (history.last_try == nullptr) {
+      for (const AttemptRecord* attempt : history.attempts) {
+        Add(Rule::kOnce, id, attempt->machine, attempt->whole, "an attempt without a client's request");
       }
       return;
     }
-    const ClassPlan& plan = truth_.scenario.classes[truth_.load.intents[r.last_try->intent].request_class];
+    const ClassPlan& plan =
+        truth_.scenario.classes[truth_.load.intents[history.last_try->intent].request_class];
     // A request that its client sent again is a new request to the router that receives it.
     const auto resent_attempts = std::count_if(
-        r.attempts.begin(), r.attempts.end(),
-        [&r](const AttemptRecord* c) { return r.last_try->resent && c->whole >= r.last_try->sent; });
+        history.attempts.begin(), history.attempts.end(), [&history](const AttemptRecord* attempt) {
+          return history.last_try->resent && attempt->whole >= history.last_try->sent;
+        });
     const auto attempts =
-        std::max<std::ptrdiff_t>(resent_attempts, std::ssize(r.attempts) - resent_attempts);
+        std::max<std::ptrdiff_t>(resent_attempts, std::ssize(history.attempts) - resent_attempts);
     if (attempts > truth_.scenario.rules.max_attempts) {
-      Add(Rule::kOnce, id, r.attempts.back()->machine, r.attempts.back()->whole,
+      Add(Rule::kOnce, id, history.attempts.back()->machine, history.attempts.back()->whole,
           std::to_string(attempts) + " attempts");
     }
     Time first_run{0};
-    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      const AttemptRecord& c = *r.attempts[i];
+    for (std::size_t i = 0; i < history.attempts.size(); ++i) {
+      const AttemptRecord& attempt = *history.attempts[i];
       // When its connection closes and the client sends the request again, the repeat is the client's.
-      const bool by_client = r.last_try->resent && c.whole >= r.last_try->sent;
-      if (by_client && i > 0 && r.attempts[i - 1]->whole < r.last_try->sent) first_run = Time(0);
+      const bool by_client = history.last_try->resent && attempt.whole >= history.last_try->sent;
+      if (by_client && i > 0 && history.attempts[i - 1]->whole < history.last_try->sent)
+        first_run = Time(0);
       for (std::size_t j = 0; j < i; ++j) {
-        const AttemptRecord& earlier = *r.attempts[j];
-        if (by_client && earlier.whole < r.last_try->sent) continue;
-        if (earlier.end == Time(0) || earlier.end > c.whole) {
-          Add(Rule::kOnce, id, c.machine, c.whole,
+        const AttemptRecord& earlier = *history.attempts[j];
+        if (by_client && earlier.whole < history.last_try->sent) continue;
+        if (earlier.end == Time(0) || earlier.end > attempt.whole) {
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
               "a second attempt while the one at " + Uid(earlier.machine) + " was open");
         }
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a write that may have run was sent again");
-        } else if (c.whole >
-                   first_run + plan.window + slack_ + SuspendedFor(c.router, first_run, c.whole)) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a keyed write was sent again after its window");
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole, "a write that may have run was sent again");
+        } else if (attempt.whole > first_run + plan.window + slack_ +
+                                       SuspendedFor(attempt.router, first_run, attempt.whole)) {
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
+              "a keyed write was sent again after its window");
         }
       }
-      if (first_run == Time(0) && MayHaveRun(c)) first_run = c.whole;
+      if (first_run == Time(0) && MayHaveRun(attempt)) first_run = attempt.whole;
     }
-    if (plan.repeats == Repeats::kNever && first_run != Time(0) && r.last_try->end == TryEnd::kBusy) {
-      Add(Rule::kOnce, id, -1, r.last_try->ended, "refused as not run, although it may have run");
+    if (plan.repeats == Repeats::kNever && first_run != Time(0) && history.last_try->end == TryEnd::kBusy) {
+      Add(Rule::kOnce, id, -1, history.last_try->ended, "refused as not run, although it may have run");
     }
   }
 
@@ -236,19 +255,20 @@
 
   void CheckDrains() {
     std::map<std::pair<int, int>, Time> notices;
-    for (const RemovalNotice& t : truth_.world.removal_notices) {
-      if (t.assumed && !CouldReceiveList(t.router, t.at - kNoticeAssumedAfter, t.at)) continue;
-      const auto [it, first] = notices.emplace(std::pair(t.router, t.machine), t.at);
-      if (!first) it->second = std::min(it->second, t.at);
+    for (const RemovalNotice& notice : truth_.world.removal_notices) {
+      if (notice.assumed && !CouldReceiveList(notice.router, notice.at - kNoticeAssumedAfter, notice.at))
+        continue;
+      const auto [it, first] = notices.emplace(std::pair(notice.router, notice.server), notice.at);
+      if (!first) it->second = std::min(it->second, notice.at);
     }
-    for (const AttemptRecord& c : truth_.world.attempts) {
-      const auto it = notices.find({c.router, c.machine});
+    for (const AttemptRecord& attempt : truth_.world.attempts) {
+      const auto it = notices.find({attempt.router, attempt.machine});
       if (it == notices.end()) continue;
-      const Duration after = c.first - it->second;
-      if (after >
-          truth_.scenario.rules.drain_grace + slack_ + SuspendedFor(c.router, it->second, c.first)) {
-        Add(Rule::kDrain, c.request, c.machine, c.first,
-            "sent to " + Uid(c.machine) + " " + InMs(after) +
+      const Duration delay = attempt.first - it->second;
+      if (delay > truth_.scenario.rules.drain_grace + slack_ +
+                      SuspendedFor(attempt.router, it->second, attempt.first)) {
+        Add(Rule::kDrain, attempt.request, attempt.machine, attempt.first,
+            "sent to " + Uid(attempt.machine) + " " + InMs(delay) +
                 " after its router was notified that it leaves service");
       }
     }
@@ -262,30 +282,32 @@
                                       OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
     std::vector<bool> overloaded(meters.size());
     std::vector<Time> counted_start(meters.size());  // the start of the process that each meter counts for
-    for (const AttemptRecord& c : truth_.world.attempts) {
-      const auto n = static_cast<std::size_t>(c.machine);
-      const MachineRecord& m = truth_.world.machines[n];
-      if (c.machine == kOrigin || overloaded[n]) continue;
-      const Capacity then = m.CapacityAt(c.whole);
-      if (!then.Cold(c.whole)) continue;
+    for (const AttemptRecord& attempt : truth_.world.attempts) {
+      const auto n = static_cast<std::size_t>(attempt.machine);
+      const MachineRecord& server = truth_.world.machines[n];
+      if (attempt.machine == kOrigin || overloaded[n]) continue;
+      const Capacity then = server.CapacityAt(attempt.whole);
+      if (!then.Cold(attempt.whole)) continue;
       if (then.started != counted_start[n]) {
         meters[n] = OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
         counted_start[n] = then.started;
       }
-      const double full = meters[n].Add(c.whole, c.work_s, then.At(c.whole));
+      const double full = meters[n].Add(attempt.whole, attempt.work_s, then.At(attempt.whole));
       if (full <= 1) continue;
       overloaded[n] = true;
-      Add(Rule::kColdPush, c.request, c.machine, c.whole,
-          Uid(c.machine) + ", " + InMs(c.whole - then.started) + " after its start, was sent more than " +
-              std::to_string(rules.fall_multiple).substr(0, 4) + " times its capacity");
+      Add(Rule::kColdPush, attempt.request, attempt.machine, attempt.whole,
+          Uid(attempt.machine) + ", " + InMs(attempt.whole - then.started) +
+              " after its start, was sent more than " + std::to_string(rules.fall_multiple).substr(0, 4) +
+              " times its capacity");
     }
     for (const Time fell : truth_.world.origin_fell) {
       double all = 0, cold = 0;
-      for (const AttemptRecord& c : truth_.world.attempts) {
-        if (c.machine != kOrigin || c.whole > fell || c.whole <= fell - truth_.scenario.origin.fall)
+      for (const AttemptRecord& attempt : truth_.world.attempts) {
+        if (attempt.machine != kOrigin || attempt.whole > fell ||
+            attempt.whole <= fell - truth_.scenario.origin.fall)
           continue;
-        all += c.work_s;
-        cold += c.after_cold_miss ? c.work_s : 0;
+        all += attempt.work_s;
+        cold += attempt.after_cold_miss ? attempt.work_s : 0;
       }
       if (cold > 0.3 * all) {
         Add(Rule::kColdPush, 0, kOrigin, fell,
@@ -294,9 +316,7 @@
     }
   }
 
-  std::string Uid(int machine) const {
-    return truth_.world.machines[static_cast<std::size_t>(machine)].uid;
-  }
+  std::string Uid(int server) const { return truth_.world.machines[static_cast<std::size_t>(server)].uid; }
 
   const Truth& truth_;
   Duration slack_;
@@ -317,23 +337,24 @@
   const std::string id = IdText(breach.request);
   out << "request " << id << "\n";
   Time from = breach.at, until = breach.at;
-  for (const TryRecord& t : truth.load.tries) {
-    if (t.id != breach.request) continue;
-    const Intent& intent = truth.load.intents[t.intent];
+  for (const TryRecord& client_try : truth.load.tries) {
+    if (client_try.id != breach.request) continue;
+    const Intent& intent = truth.load.intents[client_try.intent];
     out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
-        << at(intent.at) << ", try " << int{t.number} + 1 << ", sent " << at(t.sent) << " to router "
-        << t.router << " with a deadline of " << InMs(t.timeout) << (t.resent ? " (sent again)" : "")
-        << "; " << kTryNames[static_cast<std::size_t>(t.end)] << " at " << at(t.ended) << "\n";
-    from = std::min(from, t.sent);
-    until = std::max(until, t.ended);
+        << at(intent.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
+        << " to router " << client_try.router << " with a deadline of " << InMs(client_try.timeout)
+        << (client_try.resent ? " (sent again)" : "") << "; "
+        << kTryNames[static_cast<std::size_t>(client_try.end)] << " at " << at(client_try.ended) << "\n";
+    from = std::min(from, client_try.sent);
+    until = std::max(until, client_try.ended);
   }
-  for (const AttemptRecord& c : truth.world.attempts) {
-    if (c.request != breach.request) continue;
-    out << "  " << truth.world.machines[static_cast<std::size_t>(c.machine)].uid << ": from router "
-        << c.router << ", first byte " << at(c.first) << ", complete " << at(c.whole) << "; "
-        << kFateNames[static_cast<std::size_t>(c.fate)];
-    if (c.end != Time(0)) out << " at " << at(c.end);
-    out << (c.applied ? "; applied" : "") << "\n";
+  for (const AttemptRecord& attempt : truth.world.attempts) {
+    if (attempt.request != breach.request) continue;
+    out << "  " << truth.world.machines[static_cast<std::size_t>(attempt.machine)].uid << ": from router "
+        << attempt.router << ", first byte " << at(attempt.first) << ", complete " << at(attempt.whole)
+        << "; " << kFateNames[static_cast<std::size_t>(attempt.fate)];
+    if (attempt.end != Time(0)) out << " at " << at(attempt.end);
+    out << (attempt.applied ? "; applied" : "") << "\n";
   }
   for (std::size_t r = 0; r < truth.router_logs.size(); ++r) {
     std::ifstream log(truth.router_logs[r]);
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -99,7 +99,7 @@
 
 // A router was notified that a server is no longer in service; `at` is when all of the entry was written.
 struct RemovalNotice {
-  int router = 0, machine = 0;
+  int router = 0, server = 0;
   Time at{0};
   bool assumed = false;  // nothing was written; the change has been in discovery for kNoticeAssumedAfter
 };
--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -71,25 +71,26 @@
   double work =
       WorkOf(world_.scenario(), request_class, id, world_.SinceStart()) * (stored ? 1 : kMissShare);
   if (std::exchange(peer.fresh, false)) work += plan_.handshake_ms / 1000;
-  const std::size_t n = RecordAttempt(peer, id, work, request.write);
+  const std::size_t record = RecordAttempt(peer, id, work, request.write);
   if (faults().hang) return;
   MachineRecord& self = server_record();
   const Time now = loop().Now();
   if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.fell = true;
   const bool refused = rejecting_ || self.fell || peer.over_limit;
-  if (refused || !Enqueue(peer, n, work, stored ? request.key : std::string())) {
-    FinishAttempt(peer, n, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
+  if (refused || !Enqueue(peer, record, work, stored ? request.key : std::string())) {
+    FinishAttempt(peer, record, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
   }
 }
 
 void CacheServer::OnWorkDone(Peer& peer, const Attempt& attempt) {
-  const AttemptRecord& c = world_.truth().attempts[attempt.record];
-  const std::string id = IdText(c.request);
+  const AttemptRecord& attempt_record = world_.truth().attempts[attempt.record];
+  const std::string id = IdText(attempt_record.request);
   if (attempt.key.empty()) {
-    world_.RecordMiss(c.request, number());
+    world_.RecordMiss(attempt_record.request, number());
     return FinishAttempt(peer, attempt.record, Fate::kMiss, "EN O" + id + "\r\n");
   }
-  const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
+  const std::string value =
+      MakeValue(attempt_record.request, attempt_record.serial, SizeOf(world_.scenario(), attempt.key));
   FinishAttempt(peer, attempt.record, Fate::kHit,
                 "VA " + std::to_string(value.size()) + " O" + id + "\r\n" + value + "\r\n");
 }
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -118,7 +118,7 @@
   RecordNotices(peer, since, whole, text);
 }
 
-void Discovery::WriteNextPiece(Outgoing out, Duration apart) {
+void Discovery::WriteNextPiece(Outgoing out, Duration interval) {
   Peer* const peer = FindPeer(out.peer);
   if (peer == nullptr) return;
   const std::string piece = out.text.substr(out.written, out.text.size() / kPieces + 1);
@@ -126,7 +126,7 @@
   Write(*peer, piece);
   RecordNotices(*peer, out.since, out.whole, std::string_view(out.text).substr(0, out.written));
   if (out.written >= out.text.size()) return;
-  loop().deadlines().Set(loop().Now() + apart, [this, out, apart] { WriteNextPiece(out, apart); });
+  loop().deadlines().Set(loop().Now() + interval, [this, out, interval] { WriteNextPiece(out, interval); });
 }
 
 void Discovery::RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written) {
--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -15,7 +15,7 @@
 
 enum class ServiceState { kInService, kTerminating, kTerminated };
 
-// Injected faults of discovery, apart from those of its links.
+// Injected faults of discovery, interval from those of its links.
 struct DiscoveryFaults {
   Duration call_time{0};       // time to serve a call
   bool one_at_a_time = false;  // serves calls one after the other, also those whose caller has gone
@@ -79,7 +79,7 @@
     std::size_t written = 0;
   };
   void WriteList(Peer& peer, std::int64_t since, bool whole, const std::string& text);
-  void WriteNextPiece(Outgoing out, Duration apart);
+  void WriteNextPiece(Outgoing out, Duration interval);
   std::string ListFor(int router, std::int64_t since, bool whole) const {
     return FormatList(lines_, rev_, since, whole, router);
   }
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -25,25 +25,25 @@
 
 std::size_t BackendServer::RecordAttempt(Peer& peer, RequestId id, double work_s, bool write) {
   world_.OnAttempt(id, *this, peer.id);
-  AttemptRecord c;
-  c.request = id;
-  c.machine = number_;
-  c.router = peer.router;
-  c.first = peer.first_byte;
-  c.whole = loop().Now();
-  c.write = write;
-  c.work_s = static_cast<float>(work_s);
-  c.serial = world_.NextSerial();
-  world_.truth().attempts.push_back(c);
-  const std::size_t n = world_.truth().attempts.size() - 1;
-  peer.pending.push_back({n, false, {}});
-  if (faults_.hang) world_.truth().attempts[n].fate = Fate::kNeverAnswered;
-  return n;
+  AttemptRecord attempt_record;
+  attempt_record.request = id;
+  attempt_record.machine = number_;
+  attempt_record.router = peer.router;
+  attempt_record.first = peer.first_byte;
+  attempt_record.whole = loop().Now();
+  attempt_record.write = write;
+  attempt_record.work_s = static_cast<float>(work_s);
+  attempt_record.serial = world_.NextSerial();
+  world_.truth().attempts.push_back(attempt_record);
+  const std::size_t record = world_.truth().attempts.size() - 1;
+  peer.pending.push_back({record, false, {}});
+  if (faults_.hang) world_.truth().attempts[record].fate = Fate::kNeverAnswered;
+  return record;
 }
 
-bool BackendServer::Enqueue(Peer& peer, std::size_t n, double work_s, std::string key) {
-  const WorkQueue::Token token = attempts_.Add({peer.id, n, work_s, std::move(key), {}});
-  active_by_record_.emplace(n, token);
+bool BackendServer::Enqueue(Peer& peer, std::size_t record, double work_s, std::string key) {
+  const WorkQueue::Token token = attempts_.Add({peer.id, record, work_s, std::move(key), {}});
+  active_by_record_.emplace(record, token);
   switch (work_queue_.Submit(token)) {
     case WorkQueue::Admission::kStarted:
       StartWork(token);
@@ -53,7 +53,7 @@
     case WorkQueue::Admission::kFull:
       break;
   }
-  active_by_record_.erase(n);
+  active_by_record_.erase(record);
   attempts_.Remove(token);
   return false;
 }
@@ -77,34 +77,35 @@
   if (Peer* peer = FindPeer(attempt.peer)) OnWorkDone(*peer, attempt);
 }
 
-void BackendServer::FinishAttempt(Peer& peer, std::size_t n, Fate fate, std::string text) {
-  AttemptRecord& c = world_.truth().attempts[n];
-  if (c.fate == Fate::kNeverAnswered) return;
+void BackendServer::FinishAttempt(Peer& peer, std::size_t record, Fate fate, std::string text) {
+  AttemptRecord& attempt_record = world_.truth().attempts[record];
+  if (attempt_record.fate == Fate::kNeverAnswered) return;
   const double draw = Unit(rng_);
   if (draw < faults_.reset) {
-    c.fate = Fate::kReset;
-    c.end = loop().Now();
+    attempt_record.fate = Fate::kReset;
+    attempt_record.end = loop().Now();
     return Close(peer, true);
   }
-  c.end = loop().Now();
+  attempt_record.end = loop().Now();
   if (draw < faults_.reset + faults_.half) {
-    c.fate = Fate::kMalformed;
-    QueueAnswer(peer, n, text.substr(0, text.size() / 2));
+    attempt_record.fate = Fate::kMalformed;
+    QueueAnswer(peer, record, text.substr(0, text.size() / 2));
   } else if (draw < faults_.reset + faults_.half + faults_.garbage) {
-    c.fate = Fate::kMalformed;
-    QueueAnswer(peer, n, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
+    attempt_record.fate = Fate::kMalformed;
+    QueueAnswer(peer, record, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
-    c.fate = fate;
-    QueueAnswer(peer, n, std::move(text));
+    attempt_record.fate = fate;
+    QueueAnswer(peer, record, std::move(text));
   }
 }
 
 void BackendServer::OnClosed(Peer& peer, bool reset) {
   if (number_ != kOrigin) world_.truth().links.push_back({number_, peer.router, loop().Now(), false});
   for (const PendingAnswer& e : peer.pending) {
-    AttemptRecord& c = world_.truth().attempts[e.attempt];
-    if (c.end == Time(0)) c.end = loop().Now();
-    if (c.fate == Fate::kOpen) c.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
+    AttemptRecord& attempt_record = world_.truth().attempts[e.attempt];
+    if (attempt_record.end == Time(0)) attempt_record.end = loop().Now();
+    if (attempt_record.fate == Fate::kOpen)
+      attempt_record.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
     const auto it = active_by_record_.find(e.attempt);
     if (it == active_by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -33,9 +33,9 @@
     Rng rng(Mix(asked ^ world_.scenario().seed), static_cast<std::uint64_t>(Stream::kContents));
     const double work =
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
-    const std::size_t n = RecordAttempt(peer, asked, work, write);
-    AttemptRecord& c = world_.truth().attempts[n];
-    c.after_cold_miss = !write && world_.MissedAtColdServer(asked);
+    const std::size_t record = RecordAttempt(peer, asked, work, write);
+    AttemptRecord& attempt_record = world_.truth().attempts[record];
+    attempt_record.after_cold_miss = !write && world_.MissedAtColdServer(asked);
     Pending pending;
     pending.request_class = world_.ClassOf(request.labels);
     EachLabel(request.labels, [&](std::string_view name, std::string_view value) {
@@ -43,14 +43,14 @@
     });
     const Time now = loop().Now();
     // Its capacity is one second of work each second on each core.
-    const bool falls = meter_.Add(now, work, plan_.cores) > 1;
+    const bool overloaded = meter_.Add(now, work, plan_.cores) > 1;
     const std::string key = request.path.substr(1);
-    pending_.emplace(n, std::move(pending));
-    if (!faults().hang && !Enqueue(peer, n, work, key)) {
-      pending_.erase(n);
-      FinishAttempt(peer, n, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
+    pending_.emplace(record, std::move(pending));
+    if (!faults().hang && !Enqueue(peer, record, work, key)) {
+      pending_.erase(record);
+      FinishAttempt(peer, record, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
     }
-    if (falls && down_until_ <= now) {
+    if (overloaded && down_until_ <= now) {
       server_record().fell = true;
       world_.truth().origin_fell.push_back(now);
       return Stop(plan_.down);
@@ -68,8 +68,8 @@
   const std::uint64_t id = peer.id;
   const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (whole ? body : body.substr(0, body.size() / 2));
   FinishAttempt(peer, record, whole ? Fate::kServed : Fate::kMalformed, text);
-  AttemptRecord& c = world_.truth().attempts[record];
-  c.no_length = whole && c.fate == Fate::kServed;
+  AttemptRecord& attempt_record = world_.truth().attempts[record];
+  attempt_record.no_length = whole && attempt_record.fate == Fate::kServed;
   EndWhenWritten(id, whole);
 }
 
@@ -85,12 +85,13 @@
 }
 
 void Origin::OnWorkDone(Peer& peer, const Attempt& attempt) {
-  AttemptRecord& c = world_.truth().attempts[attempt.record];
+  AttemptRecord& attempt_record = world_.truth().attempts[attempt.record];
   const Pending pending = std::move(pending_[attempt.record]);
   pending_.erase(attempt.record);
-  if (!c.write) {
-    world_.StoreFetched(c.request, attempt.key);
-    const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
+  if (!attempt_record.write) {
+    world_.StoreFetched(attempt_record.request, attempt.key);
+    const std::string value =
+        MakeValue(attempt_record.request, attempt_record.serial, SizeOf(world_.scenario(), attempt.key));
     return Reply(peer, attempt.record, value);
   }
   const ClassPlan& plan = world_.scenario().classes[pending.request_class];
@@ -102,10 +103,10 @@
     if (!repeat) it->second = now;
   }
   if (!repeat) {
-    c.applied = true;
+    attempt_record.applied = true;
     world_.DropCopies(attempt.key);
   }
-  Reply(peer, attempt.record, "r" + std::to_string(c.serial));
+  Reply(peer, attempt.record, "r" + std::to_string(attempt_record.serial));
 }
 
 }  // namespace brasswood::lab
--- a/lab/world/server.cpp
+++ b/lab/world/server.cpp
@@ -242,7 +242,7 @@
   // Guards against starting work for a command that its router has given up: a connection that waited in
   // the accept queue, or behind a cut, may hold both the command and its close.
   if (ClosedByRouter(peer)) return Close(peer, false);
-  if (peer.first_byte == Time(0)) peer.first_byte = LastByteCame(peer);
+  if (peer.first_byte == Time(0)) peer.first_byte = LastByteArrival(peer);
   const std::uint64_t id = peer.id;
   OnData(peer);
   auto* found = peers_.Find(id);
@@ -254,7 +254,7 @@
 
 // Guards against blaming the router for a delay of the emulator: bytes that were sent before the link was
 // cut, or before the connection was accepted, are read long after the router sent them.
-Time Server::LastByteCame(const Peer& peer) const {
+Time Server::LastByteArrival(const Peer& peer) const {
   tcp_info info{};
   socklen_t size = sizeof info;
   const bool known =
--- a/lab/world/server.h
+++ b/lab/world/server.h
@@ -115,7 +115,7 @@
   void ApplyToPeers(int router, Link before, Link link);
   void Accept(Listener& listener);
   void ReadFrom(Peer& peer);
-  Time LastByteCame(const Peer& peer) const;
+  Time LastByteArrival(const Peer& peer) const;
   void LoseConnection(Peer& peer);
 
   Loop& loop_;
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -124,8 +124,8 @@
 std::vector<CacheServer*> World::PickVictims(const FaultPlan& fault, std::size_t number) {
   std::vector<CacheServer*> all;
   for (std::size_t i = 0; i < cache_servers_.size(); ++i) {
-    const bool hall = fault.hall < 0 || cache_servers_[i]->plan().hall == fault.hall;
-    if (in_service_[i] && cache_servers_[i]->alive() && hall) all.push_back(cache_servers_[i].get());
+    const bool in_zone = fault.hall < 0 || cache_servers_[i]->plan().hall == fault.hall;
+    if (in_service_[i] && cache_servers_[i]->alive() && in_zone) all.push_back(cache_servers_[i].get());
   }
   return Victims(scenario_, number, std::move(all));
 }
@@ -162,14 +162,14 @@
 }
 
 void World::Replace(const FaultPlan& fault, std::size_t number) {
-  const std::vector<CacheServer*> going = PickVictims(fault, number);
+  const std::vector<CacheServer*> leaving = PickVictims(fault, number);
   const auto at_once = std::max<std::size_t>(
       1, static_cast<std::size_t>(fault.batch * static_cast<double>(cache_servers_.size())));
-  const std::size_t batches = (going.size() + at_once - 1) / at_once;
+  const std::size_t batches = (leaving.size() + at_once - 1) / at_once;
   for (std::size_t b = 0; b < batches; ++b) {
     const std::vector<CacheServer*> batch(
-        going.begin() + static_cast<std::ptrdiff_t>(b * at_once),
-        going.begin() + static_cast<std::ptrdiff_t>(std::min(going.size(), (b + 1) * at_once)));
+        leaving.begin() + static_cast<std::ptrdiff_t>(b * at_once),
+        leaving.begin() + static_cast<std::ptrdiff_t>(std::min(leaving.size(), (b + 1) * at_once)));
     const Duration step = fault.length / static_cast<std::int64_t>(std::max<std::size_t>(1, batches));
     At(fault.at + step * static_cast<std::int64_t>(b), [this, batch, drain = fault.drain] {
       for (CacheServer* old : batch) {
@@ -191,30 +191,33 @@
 
 void World::Apply(const FaultPlan& fault, std::size_t number) {
   const auto later = [&](std::function<void()> run) { At(fault.at + fault.length, std::move(run)); };
-  const auto ail = [&](auto set, auto unset) {
+  const auto inject = [&](auto set, auto unset) {
     std::vector<BackendServer*> victims;
     if (fault.origin) {
       victims.push_back(origin_.get());
     } else {
       for (CacheServer* server : PickVictims(fault, number)) victims.push_back(server);
     }
-    for (BackendServer* m : victims) set(m->faults());
+    for (BackendServer* server : victims) set(server->faults());
     later([victims, unset] {
-      for (BackendServer* m : victims) unset(m->faults());
+      for (BackendServer* server : victims) unset(server->faults());
     });
   };
   switch (fault.kind) {
     case FaultKind::kHang:
-      return ail([](InjectedFaults& a) { a.hang = true; }, [](InjectedFaults& a) { a.hang = false; });
+      return inject([](InjectedFaults& f) { f.hang = true; }, [](InjectedFaults& f) { f.hang = false; });
     case FaultKind::kSlow:
-      return ail([&](InjectedFaults& a) { a.speed = fault.size; }, [](InjectedFaults& a) { a.speed = 1; });
+      return inject([&](InjectedFaults& f) { f.speed = fault.size; },
+                    [](InjectedFaults& f) { f.speed = 1; });
     case FaultKind::kReset:
-      return ail([&](InjectedFaults& a) { a.reset = fault.share; }, [](InjectedFaults& a) { a.reset = 0; });
+      return inject([&](InjectedFaults& f) { f.reset = fault.share; },
+                    [](InjectedFaults& f) { f.reset = 0; });
     case FaultKind::kHalf:
-      return ail([&](InjectedFaults& a) { a.half = fault.share; }, [](InjectedFaults& a) { a.half = 0; });
+      return inject([&](InjectedFaults& f) { f.half = fault.share; },
+                    [](InjectedFaults& f) { f.half = 0; });
     case FaultKind::kGarbage:
-      return ail([&](InjectedFaults& a) { a.garbage = fault.share; },
-                 [](InjectedFaults& a) { a.garbage = 0; });
+      return inject([&](InjectedFaults& f) { f.garbage = fault.share; },
+                    [](InjectedFaults& f) { f.garbage = 0; });
     case FaultKind::kNoLength:
       origin_->faults().no_length = fault.share;
       return later([this] { origin_->faults().no_length = 0; });
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -56,11 +56,11 @@
     truth.load.tries.push_back(t);
     return truth.load.tries.back();
   }
-  AttemptRecord& Attempt(RequestId id, int machine, int whole, int end, Fate fate,
+  AttemptRecord& Attempt(RequestId id, int server, int whole, int end, Fate fate,
                          std::uint32_t serial = 1) {
     AttemptRecord c;
     c.request = id;
-    c.machine = machine;
+    c.machine = server;
     c.first = c.whole = At(whole);
     c.end = end < 0 ? Time(0) : At(end);
     c.fate = fate;
