--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -95,20 +95,20 @@
   }
 
   void CheckAnswersWithoutLength() {
-    std::size_t whole = 0, passed = 0;
+    std::size_t complete = 0, passed = 0;
     for (const TryRecord& client_try : truth_.load.tries) {
       for (const AttemptRecord* attempt : requests_[client_try.id].attempts) {
         const Time due = client_try.sent + client_try.timeout;
         if (!attempt->no_length || client_try.end == TryEnd::kLeft ||
             attempt->end > std::min(due, client_try.ended) || RouterWasDown(client_try, due))
           continue;
-        ++whole;
+        ++complete;
         passed += Served(client_try.end) && attempt->serial == client_try.serial;
       }
     }
-    if (whole < kMinAnswersWithoutLength || 2 * passed >= whole) return;
+    if (complete < kMinAnswersWithoutLength || 2 * passed >= complete) return;
     Add(Rule::kAnswer, 0, kOrigin, truth_.start,
-        "of " + std::to_string(whole) + " complete answers without a stated length only " +
+        "of " + std::to_string(complete) + " complete answers without a stated length only " +
             std::to_string(passed) + " were passed on");
   }
 
@@ -157,7 +157,7 @@
           });
       if (!made)
         Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
-            "the value or receipt was made by no server for it");
+            "no server made this value or receipt for the request");
     }
   }
 
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -18,12 +18,12 @@
       rng_(MakeRng(Mix(world.scenario().seed * 191), Stream::kFaults)) {}
 
 std::string Discovery::FormatList(const std::vector<ListLine>& lines, std::int64_t rev, std::int64_t since,
-                                  bool whole, int router) {
-  std::string out =
-      R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (whole ? "true" : "false") + R"(,"targets":[)";
+                                  bool full_list, int router) {
+  std::string out = R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (full_list ? "true" : "false") +
+                    R"(,"targets":[)";
   bool first = true;
   for (const ListLine& line : lines) {
-    if (whole ? line.terminated : line.rev <= since) continue;
+    if (full_list ? line.terminated : line.rev <= since) continue;
     out += first ? "" : ",";
     first = false;
     out += line.before;
@@ -83,25 +83,26 @@
   return true;
 }
 
-void Discovery::SendList(Peer& peer, std::int64_t since, bool whole) {
-  if (!whole && Chance(rng_, faults_.stale)) {
+void Discovery::SendList(Peer& peer, std::int64_t since, bool full_list) {
+  if (!full_list && Chance(rng_, faults_.stale)) {
     return Write(
         peer,
         HttpReply(200, "", R"({"rev":)" + std::to_string(since - 1) + R"(,"all":true,"targets":[]})"));
   }
-  const std::string text = HttpReply(200, "", ListFor(peer.router, since, whole));
+  const std::string text = HttpReply(200, "", ListFor(peer.router, since, full_list));
   if (faults_.answer_delay > Duration(0)) {
-    loop().deadlines().Set(loop().Now() + faults_.answer_delay, [this, id = peer.id, since, whole, text] {
-      if (Peer* at = FindPeer(id)) WriteList(*at, since, whole, text);
-    });
+    loop().deadlines().Set(loop().Now() + faults_.answer_delay,
+                           [this, id = peer.id, since, full_list, text] {
+                             if (Peer* at = FindPeer(id)) WriteList(*at, since, full_list, text);
+                           });
     return;
   }
-  if (faults_.write_time > Duration(0)) return WriteList(peer, since, whole, text);
+  if (faults_.write_time > Duration(0)) return WriteList(peer, since, full_list, text);
   const bool reset = Chance(rng_, faults_.reset), half = reset || Chance(rng_, faults_.truncated);
   const std::string_view written = std::string_view(text).substr(0, half ? text.size() / 2 : text.size());
   if (!half) world_.truth().lists.push_back({peer.router, loop().Now(), false});
   Write(peer, written);
-  RecordNotices(peer, since, whole, written);
+  RecordNotices(peer, since, full_list, written);
   if (reset) {
     loop().deadlines().Set(loop().Now() + std::chrono::milliseconds(1), [this, id = peer.id] {
       if (Peer* at = FindPeer(id)) Close(*at, true);
@@ -109,13 +110,13 @@
   }
 }
 
-void Discovery::WriteList(Peer& peer, std::int64_t since, bool whole, const std::string& text) {
+void Discovery::WriteList(Peer& peer, std::int64_t since, bool full_list, const std::string& text) {
   world_.truth().lists.push_back({peer.router, loop().Now(), false});
   if (faults_.write_time > Duration(0)) {
-    return WriteNextPiece({peer.id, since, whole, text, 0}, faults_.write_time / kPieces);
+    return WriteNextPiece({peer.id, since, full_list, text, 0}, faults_.write_time / kPieces);
   }
   Write(peer, text);
-  RecordNotices(peer, since, whole, text);
+  RecordNotices(peer, since, full_list, text);
 }
 
 void Discovery::WriteNextPiece(Outgoing out, Duration interval) {
@@ -124,15 +125,16 @@
   const std::string piece = out.text.substr(out.written, out.text.size() / kPieces + 1);
   out.written += piece.size();
   Write(*peer, piece);
-  RecordNotices(*peer, out.since, out.whole, std::string_view(out.text).substr(0, out.written));
+  RecordNotices(*peer, out.since, out.full_list, std::string_view(out.text).substr(0, out.written));
   if (out.written >= out.text.size()) return;
   loop().deadlines().Set(loop().Now() + interval, [this, out, interval] { WriteNextPiece(out, interval); });
 }
 
-void Discovery::RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written) {
+void Discovery::RecordNotices(const Peer& peer, std::int64_t since, bool full_list,
+                              std::string_view written) {
   for (std::size_t n = 0; n < entries_.size(); ++n) {
     const Entry& e = entries_[n];
-    if (e.state == ServiceState::kInService || (!whole && e.rev <= since)) continue;
+    if (e.state == ServiceState::kInService || (!full_list && e.rev <= since)) continue;
     const std::string entry = lines_[n].before + EndpointOf(lines_[n].port, peer.router) + lines_[n].after;
     if (written.find(entry) == written.npos) continue;
     world_.truth().removal_notices.push_back({peer.router, e.server, loop().Now(), false});
--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -48,7 +48,7 @@
   std::int64_t rev() const { return rev_; }
   DiscoveryFaults& faults() { return faults_; }
   static std::string FormatList(const std::vector<ListLine>& lines, std::int64_t rev, std::int64_t since,
-                                bool whole, int router);
+                                bool full_list, int router);
 
  private:
   struct Entry {
@@ -67,21 +67,21 @@
   void ScheduleCall(std::uint64_t id, const HttpRequest& request);
   void Serve(std::uint64_t id, const HttpRequest& request);
   // Records which servers the written part of an answer notifies the router of as leaving service.
-  void RecordNotices(const Peer& peer, std::int64_t since, bool whole, std::string_view written);
+  void RecordNotices(const Peer& peer, std::int64_t since, bool full_list, std::string_view written);
   void ApplyState(int server, ServiceState state);
-  void SendList(Peer& peer, std::int64_t since, bool whole);
+  void SendList(Peer& peer, std::int64_t since, bool full_list);
   // An answer that is written in pieces, and how much of it has been written.
   struct Outgoing {
     std::uint64_t peer = 0;
     std::int64_t since = 0;
-    bool whole = false;
+    bool full_list = false;
     std::string text;
     std::size_t written = 0;
   };
-  void WriteList(Peer& peer, std::int64_t since, bool whole, const std::string& text);
+  void WriteList(Peer& peer, std::int64_t since, bool full_list, const std::string& text);
   void WriteNextPiece(Outgoing out, Duration interval);
-  std::string ListFor(int router, std::int64_t since, bool whole) const {
-    return FormatList(lines_, rev_, since, whole, router);
+  std::string ListFor(int router, std::int64_t since, bool full_list) const {
+    return FormatList(lines_, rev_, since, full_list, router);
   }
 
   World& world_;
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -64,13 +64,13 @@
   if (!Chance(rng_, faults().no_length)) {
     return FinishAttempt(peer, record, Fate::kServed, HttpReply(200, "", body));
   }
-  const bool whole = Chance(rng_, 0.5);
+  const bool complete = Chance(rng_, 0.5);
   const std::uint64_t id = peer.id;
-  const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (whole ? body : body.substr(0, body.size() / 2));
-  FinishAttempt(peer, record, whole ? Fate::kServed : Fate::kMalformed, text);
+  const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (complete ? body : body.substr(0, body.size() / 2));
+  FinishAttempt(peer, record, complete ? Fate::kServed : Fate::kMalformed, text);
   AttemptRecord& attempt_record = world_.truth().attempts[record];
-  attempt_record.no_length = whole && attempt_record.fate == Fate::kServed;
-  EndWhenWritten(id, whole);
+  attempt_record.no_length = complete && attempt_record.fate == Fate::kServed;
+  EndWhenWritten(id, complete);
 }
 
 void Origin::EndWhenWritten(std::uint64_t id, bool in_order) {
