--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -1,5 +1,6 @@
-// The load: clients that send what the schedule says when it says so, whether or not earlier answers have
-// come, and that retry and keep connections as real ones do. It runs on a loop and a thread of its own.
+// The load generator: clients that send each request at its scheduled time, whether or not earlier answers
+// have arrived (an open loop), and that retry and reuse connections as real clients do. It runs its own
+// event loop on its own thread.
 #ifndef BRASSWOOD_LAB_LOAD_LOAD_H_
 #define BRASSWOOD_LAB_LOAD_LOAD_H_
 
@@ -18,19 +19,19 @@
 
 class Load {
  public:
-  // The routers' addresses, hall by hall; they need not listen yet.
+  // `routers`: their addresses, zone by zone; they need not listen yet.
   Load(const Scenario& scenario, const std::vector<std::string>& routers);
   ~Load();
 
   // Sends from `start` on until the scenario's length has passed and every intent has ended, or Stop. To be
   // called on a thread of its own.
   void Run(Time start);
-  // From any thread: sends nothing more; Run returns soon, and what was open by then is left open.
+  // From any thread: nothing more is sent, and Run returns soon. Requests that are open then stay open.
   void Stop() { stop_ = true; }
   // From any thread.
   std::uint64_t sent() const { return sent_; }
   std::uint64_t served() const { return served_; }
-  // After Run. A try that Stop cut off has no end, and no time of it.
+  // After Run. A try that Stop interrupted has the end kOpen and no end time.
   LoadTruth TakeTruth();
 
  private:
@@ -40,34 +41,34 @@
     int router = 0;
     std::uint32_t client = 0;
     BufferPtr buffer;
-    bool up = false;
-    bool used = false;      // has carried a try that was answered
-    long long record = -1;  // the try that it carries; -1: none
+    bool connected = false;    // established
+    bool reused = false;       // a try on it has been answered
+    long long try_index = -1;  // index of the open try in LoadTruth::tries; -1: none
     Deadlines::Id deadline;
-    Deadlines::Id leaves;  // its client closes it before the answer
-    bool flood = false;
-    bool crowd = false;  // of those: it asks once whether the router is ready
+    Deadlines::Id leave_timer;  // when its client closes it before the answer
+    bool flood = false;         // opened by a flood or crowd fault: carries no request
+    bool crowd = false;         // with `flood`: asks once whether the router is ready
   };
-  struct Work {  // an intent under way
+  struct IntentState {  // the state of an intent
     Arrival arrival;
-    int tries = 0, unreached = 0;
+    int tries = 0, unreachable = 0;
   };
 
   void SendDue();
-  void Begin(std::uint32_t intent);
-  void Put(std::uint32_t intent, RequestId id, int number, bool resent);
+  void StartNextTry(std::uint32_t intent);
+  void StartTry(std::uint32_t intent, RequestId id, int number, bool resent);
   Connection* Open(int router, std::uint32_t client, bool flood);
-  void OpenIdle(int router, bool crowd);
+  void OpenFloodConnection(int router, bool crowd);
   int PickRouter(int hall);
-  void WriteTry(Connection& c);
-  void MayLeave(const Connection& c);
-  void OnRead(Connection& c);
-  void OnEvent(Connection& c, short what);
-  void Finish(Connection& c, TryEnd end);
-  void Settle(const TryRecord& t);
-  void Rest(Connection& c);
+  void WriteTry(Connection& connection);
+  void MaybeLeave(const Connection& connection);
+  void OnRead(Connection& connection);
+  void OnEvent(Connection& connection, short what);
+  void EndTry(Connection& connection, TryEnd end);
+  void RetryOrFinish(const TryRecord& client_try);
+  void KeepConnection(Connection& connection);
   void Close(std::uint64_t id);
-  void Flood(const FaultPlan& fault);
+  void StartFlood(const FaultPlan& fault);
   void Tick();
 
   const Scenario& scenario_;
@@ -80,13 +81,13 @@
   Time start_{0};
   std::optional<Arrival> next_;
   LoadTruth truth_;
-  std::vector<Work> works_;  // by intent
+  std::vector<IntentState> states_;  // by intent
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
-  std::vector<std::vector<std::uint64_t>> idle_;  // by client; the most recent last
+  std::vector<std::vector<std::uint64_t>> idle_;  // connections by client; the most recently used last
   std::size_t open_intents_ = 0;
-  bool flooding_ = false;
-  bool crowding_ = false;
+  bool flood_on_ = false;
+  bool crowd_on_ = false;
   LagMeter lag_;
   std::atomic<bool> stop_{false};
   std::atomic<std::uint64_t> sent_{0}, served_{0};
--- a/lab/preload/disk_fault.cpp
+++ b/lab/preload/disk_fault.cpp
@@ -1,6 +1,6 @@
-// Loaded into a router's process by the laboratory (LD_PRELOAD): what it does with files in one folder
-// fails as on a disk that is full, broken, dead or read-only, while a small file, mapped into both
-// processes, says so. Files elsewhere, sockets and pipes are left alone.
+// Loaded into a router's process by the laboratory (LD_PRELOAD). While a small file that both processes map
+// says so, calls on files in one folder behave as on a disk that is full, failing, stalled or read-only, or
+// lose part of what is written. Files elsewhere, sockets and pipes are not affected.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <limits.h>
@@ -41,14 +41,14 @@
   return shared == nullptr ? DiskMode::kSound : static_cast<DiskMode>(shared->load());
 }
 
-bool OursByName(const char* path) {
+bool PathInFolder(const char* path) {
   static const char* folder = std::getenv("BRASSWOOD_LAB_DISK_FOLDER");
   if (folder == nullptr || path == nullptr) return false;
   const std::size_t n = std::strlen(folder);
   return std::strncmp(path, folder, n) == 0 && (path[n] == '/' || path[n] == '\0');
 }
 
-bool Ours(int fd) {
+bool FileInFolder(int fd) {
   const int before = errno;
   char link[64], path[PATH_MAX];
   std::snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
@@ -56,25 +56,25 @@
   errno = before;
   if (n <= 0) return false;
   path[n] = '\0';
-  return OursByName(path);
+  return PathInFolder(path);
 }
 
-// A dead disk: nothing comes back until it is sound again.
-void Wait() {
+// A stalled disk: blocks until the fault is over.
+void WaitWhileStalled() {
   while (Mode() == DiskMode::kStall) {
     const timespec pause{0, 5000000};
     ::nanosleep(&pause, nullptr);
   }
 }
 
-int Fail(int error) {
+int FailWith(int error) {
   errno = error;
   return -1;
 }
 
-// What an open, rename or unlink that changes the folder meets; 0: nothing.
-int Changing() {
-  Wait();
+// The error for a rename or fsync in the folder; 0: none.
+int ChangeError() {
+  WaitWhileStalled();
   switch (Mode()) {
     case DiskMode::kReadOnly:
       return EROFS;
@@ -95,25 +95,25 @@
   const mode_t mode = (flags & (O_CREAT | O_TMPFILE)) != 0 ? va_arg(more, mode_t) : 0;
   va_end(more);
   static const auto next = Next<int (*)(const char*, int, ...)>("open");
-  if (OursByName(path)) {
-    Wait();
+  if (PathInFolder(path)) {
+    WaitWhileStalled();
     const bool writes = (flags & O_ACCMODE) != O_RDONLY;
-    if (writes && Mode() == DiskMode::kReadOnly) return Fail(EROFS);
-    if (writes && Mode() == DiskMode::kFull && (flags & O_CREAT) != 0) return Fail(ENOSPC);
+    if (writes && Mode() == DiskMode::kReadOnly) return FailWith(EROFS);
+    if (writes && Mode() == DiskMode::kFull && (flags & O_CREAT) != 0) return FailWith(ENOSPC);
   }
   return next(path, flags, mode);
 }
 
 ssize_t write(int fd, const void* data, size_t size) {
   static const auto next = Next<ssize_t (*)(int, const void*, size_t)>("write");
-  if (Mode() != DiskMode::kSound && Ours(fd)) {
-    Wait();
+  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+    WaitWhileStalled();
     switch (Mode()) {
       case DiskMode::kFull:
-        return Fail(ENOSPC);
+        return FailWith(ENOSPC);
       case DiskMode::kError:
-        return Fail(EIO);
-      case DiskMode::kShort:  // taken, and half of it lost: the file comes back shorter
+        return FailWith(EIO);
+      case DiskMode::kShort:  // reports success, but half of the bytes are lost: the file is too short
         (void)!next(fd, data, size / 2);
         return static_cast<ssize_t>(size);
       default:
@@ -125,22 +125,22 @@
 
 ssize_t read(int fd, void* data, size_t size) {
   static const auto next = Next<ssize_t (*)(int, void*, size_t)>("read");
-  if (Mode() == DiskMode::kStall && Ours(fd)) Wait();
+  if (Mode() == DiskMode::kStall && FileInFolder(fd)) WaitWhileStalled();
   return next(fd, data, size);
 }
 
 int fsync(int fd) {
   static const auto next = Next<int (*)(int)>("fsync");
-  if (Mode() != DiskMode::kSound && Ours(fd)) {
-    if (const int error = Changing()) return Fail(error);
+  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+    if (const int error = ChangeError()) return FailWith(error);
   }
   return next(fd);
 }
 
 int rename(const char* from, const char* to) {
   static const auto next = Next<int (*)(const char*, const char*)>("rename");
-  if (OursByName(to)) {
-    if (const int error = Changing()) return Fail(error);
+  if (PathInFolder(to)) {
+    if (const int error = ChangeError()) return FailWith(error);
   }
   return next(from, to);
 }
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -9,45 +9,49 @@
 namespace brasswood::lab {
 namespace {
 
-// What the platform's rules on sockets add to every limit on time.
+// Added to every time limit, for the socket handling that the platform's rules allow.
 constexpr Duration kSocketSlack = std::chrono::milliseconds(50);
-// A request that comes later than this after its router was asked to stop has to have its answer before the
-// router may be killed.
-constexpr Duration kLateWork = std::chrono::milliseconds(700);
-// An attempt that begins later than this after its client left is work for nobody.
-constexpr Duration kGone = std::chrono::milliseconds(100);
-// A change counts as told by time alone where no more of the calls to discovery fail, and where it serves
-// all routers in turn within this.
-constexpr double kMostFailedCalls = 0.5;
-constexpr Duration kMostQueue = std::chrono::seconds(1);
-// Of so many complete answers with no stated length half at least are passed on.
-constexpr std::size_t kEnoughNoLength = 10;
+// A request sent later than this after SIGTERM to its router must have its answer before the router is
+// killed: the kill excuses only requests that were sent earlier.
+constexpr Duration kShutdownGrace = std::chrono::milliseconds(700);
+// An attempt must not begin later than this after its client left, as nobody waits for its result.
+constexpr Duration kMaxStartAfterLeave = std::chrono::milliseconds(100);
+// A router counts as notified of a change by elapsed time alone only while at most this share of the calls
+// to discovery fail, and while discovery serves one call of every router within kMaxQueueDelay.
+constexpr double kMaxFailedCallShare = 0.5;
+constexpr Duration kMaxQueueDelay = std::chrono::seconds(1);
+// From this many complete answers without a stated length on, at least half must be passed on.
+constexpr std::size_t kMinAnswersWithoutLength = 10;
 
-struct Request {
-  const TryRecord* sent = nullptr;
-  std::vector<const AttemptRecord*> attempts;  // in the order in which they became whole
+struct RequestHistory {
+  const TryRecord* last_try = nullptr;         // the last try under its id
+  std::vector<const AttemptRecord*> attempts;  // in the order in which they were received completely
 };
 
 bool Served(TryEnd end) { return end == TryEnd::kValue || end == TryEnd::kReceipt; }
 
-// May the attempt have had an effect, for all that its router could tell?
-bool MayHaveRun(const AttemptRecord& c) { return c.fate != Fate::kTurnedAway && c.fate != Fate::kMiss; }
+// Whether the attempt may have had an effect, as far as its router could tell.
+bool MayHaveRun(const AttemptRecord& attempt) {
+  return attempt.fate != Fate::kTurnedAway && attempt.fate != Fate::kMiss;
+}
 
-class Court {
+class RuleChecker {
  public:
-  explicit Court(const Truth& truth)
+  explicit RuleChecker(const Truth& truth)
       : truth_(truth), slack_(kSocketSlack + truth.world.lag + truth.load.late_max) {
-    for (const TryRecord& t : truth.load.tries) requests_[t.id].sent = &t;
-    for (const AttemptRecord& c : truth.world.attempts) requests_[c.request].attempts.push_back(&c);
+    for (const TryRecord& client_try : truth.load.tries) requests_[client_try.id].last_try = &client_try;
+    for (const AttemptRecord& attempt : truth.world.attempts)
+      requests_[attempt.request].attempts.push_back(&attempt);
   }
 
-  std::vector<Breach> Sit() {
-    for (const TryRecord& t : truth_.load.tries) JudgeAnswer(t, requests_[t.id]);
-    for (const TryRecord& t : truth_.load.tries) JudgeGone(t, requests_[t.id]);
-    JudgeNoLength();
-    for (const auto& [id, r] : requests_) JudgeOnce(id, r);
-    JudgeDrains();
-    JudgePushes();
+  std::vector<Breach> Check() {
+    for (const TryRecord& client_try : truth_.load.tries) CheckAnswer(client_try, requests_[client_try.id]);
+    for (const TryRecord& client_try : truth_.load.tries)
+      CheckAttemptsAfterLeaving(client_try, requests_[client_try.id]);
+    CheckAnswersWithoutLength();
+    for (const auto& [id, history] : requests_) CheckAttempts(id, history);
+    CheckDrains();
+    CheckOverload();
     std::sort(breaches_.begin(), breaches_.end(), [](const Breach& a, const Breach& b) {
       return std::pair(a.at, a.request) < std::pair(b.at, b.request);
     });
@@ -55,20 +59,21 @@
   }
 
  private:
-  void Add(Rule rule, RequestId id, int machine, Time at, std::string what) {
-    breaches_.push_back({rule, id, machine, at, std::move(what)});
+  void Add(Rule rule, RequestId id, int server, Time at, std::string what) {
+    breaches_.push_back({rule, id, server, at, std::move(what)});
   }
 
-  // Was the try's router taken away while the try was out?
-  bool Excused(const TryRecord& t, Time until) const {
+  // Whether an injected fault took the try's router down while the try was open.
+  bool RouterWasDown(const TryRecord& client_try, Time until) const {
     return std::any_of(truth_.absences.begin(), truth_.absences.end(), [&](const Absence& a) {
-      const bool late = a.asked != Time(0) && t.sent > a.asked + kLateWork && t.sent < a.from;
-      return !late && a.router == t.router && t.sent <= a.until && until >= a.from;
+      const bool late =
+          a.asked != Time(0) && client_try.sent > a.asked + kShutdownGrace && client_try.sent < a.from;
+      return !late && a.router == client_try.router && client_try.sent <= a.until && until >= a.from;
     });
   }
 
-  // For how long the router stood still in that time.
-  Duration Held(int router, Time from, Time until) const {
+  // For how long the router's process was suspended within that time.
+  Duration SuspendedFor(int router, Time from, Time until) const {
     Duration all{0};
     for (const Hold& h : truth_.holds) {
       if (h.router != router) continue;
@@ -77,120 +82,139 @@
     return all;
   }
 
-  void JudgeGone(const TryRecord& t, const Request& r) {
-    if (t.end != TryEnd::kLeft) return;
-    for (const AttemptRecord* c : r.attempts) {
-      const Duration after = c->first - t.ended;
-      if (after <= kGone + slack_ + Held(t.router, t.ended, c->first)) continue;
-      Add(Rule::kAnswer, t.id, c->machine, c->first,
-          "an attempt begun " + InMs(after) + " after its client left");
+  void CheckAttemptsAfterLeaving(const TryRecord& client_try, const RequestHistory& history) {
+    if (client_try.end != TryEnd::kLeft) return;
+    for (const AttemptRecord* attempt : history.attempts) {
+      const Duration delay = attempt->first - client_try.ended;
+      if (delay <=
+          kMaxStartAfterLeave + slack_ + SuspendedFor(client_try.router, client_try.ended, attempt->first))
+        continue;
+      Add(Rule::kAnswer, client_try.id, attempt->machine, attempt->first,
+          "an attempt began " + InMs(delay) + " after its client left");
     }
   }
 
-  void JudgeNoLength() {
-    std::size_t whole = 0, passed = 0;
-    for (const TryRecord& t : truth_.load.tries) {
-      for (const AttemptRecord* c : requests_[t.id].attempts) {
-        const Time due = t.sent + t.wait;
-        if (!c->no_length || t.end == TryEnd::kLeft || c->end > std::min(due, t.ended) || Excused(t, due))
+  void CheckAnswersWithoutLength() {
+    std::size_t complete = 0, passed = 0;
+    for (const TryRecord& client_try : truth_.load.tries) {
+      for (const AttemptRecord* attempt : requests_[client_try.id].attempts) {
+        const Time due = client_try.sent + client_try.timeout;
+        if (!attempt->no_length || client_try.end == TryEnd::kLeft ||
+            attempt->end > std::min(due, client_try.ended) || RouterWasDown(client_try, due))
           continue;
-        ++whole;
-        passed += Served(t.end) && c->serial == t.serial;
+        ++complete;
+        passed += Served(client_try.end) && attempt->serial == client_try.serial;
       }
     }
-    if (whole < kEnoughNoLength || 2 * passed >= whole) return;
+    if (complete < kMinAnswersWithoutLength || 2 * passed >= complete) return;
     Add(Rule::kAnswer, 0, kOrigin, truth_.start,
-        "of " + std::to_string(whole) + " complete answers with no length " + std::to_string(passed) +
-            " were passed on");
+        "of " + std::to_string(complete) + " complete answers without a stated length only " +
+            std::to_string(passed) + " were passed on");
   }
 
-  void JudgeAnswer(const TryRecord& t, const Request& r) {
-    // Never taken, or cut off by the end of an interrupted run.
-    if (t.sent == Time(0) || t.ended == Time(0) || t.end == TryEnd::kLeft) return;
-    const Time due =
-        t.sent + t.wait + truth_.scenario.rules.answer_slack + slack_ + Held(t.router, t.sent, t.ended);
-    if (Excused(t, t.ended)) return;
-    switch (t.end) {
+  void CheckAnswer(const TryRecord& client_try, const RequestHistory& history) {
+    // Never sent, cut off by the end of an interrupted run, or given up by its client.
+    if (client_try.sent == Time(0) || client_try.ended == Time(0) || client_try.end == TryEnd::kLeft)
+      return;
+    const Time due = client_try.sent + client_try.timeout + truth_.scenario.rules.answer_slack + slack_ +
+                     SuspendedFor(client_try.router, client_try.sent, client_try.ended);
+    if (RouterWasDown(client_try, client_try.ended)) return;
+    switch (client_try.end) {
       case TryEnd::kOpen:
-        return Add(Rule::kAnswer, t.id, -1, due, "no answer before its client gave up");
+        return Add(Rule::kAnswer, client_try.id, -1, due, "no answer until its client gave up");
       case TryEnd::kClosed:
-        // A connection may close between requests; what had not been sent on was not lost, as its client
-        // asks again. On its second connection, or with an attempt out, it was.
-        if (t.resent || !t.pooled ||
-            std::any_of(r.attempts.begin(), r.attempts.end(),
-                        [&](const AttemptRecord* c) { return c->whole <= t.ended; })) {
-          Add(Rule::kAnswer, t.id, -1, t.ended, "the connection was closed instead of an answer");
+        // A router may close an idle connection, so a request that it had not sent on is not lost: its
+        // client sends it again. It is lost when that was already the second connection, when the
+        // connection was new, or when an attempt had been sent.
+        if (client_try.resent || !client_try.pooled ||
+            std::any_of(history.attempts.begin(), history.attempts.end(),
+                        [&](const AttemptRecord* attempt) { return attempt->whole <= client_try.ended; })) {
+          Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+              "the connection was closed without an answer");
         }
         return;
       case TryEnd::kBad:
-        return Add(Rule::kAnswer, t.id, -1, t.ended, "an answer that cannot be read or is another's");
+        return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+                   "the answer is malformed or belongs to another request");
       case TryEnd::kError:
-        return Add(Rule::kAnswer, t.id, -1, t.ended, "a sound command was answered as an error");
+        return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+                   "a valid command was answered with a client error");
       case TryEnd::kUnreachable:
         return;
       default:
         break;
     }
-    if (t.ended > due) {
-      Add(Rule::kAnswer, t.id, -1, t.ended,
-          "answered " + InMs(t.ended - t.sent) + " after it was sent; its client waits " + InMs(t.wait));
+    if (client_try.ended > due) {
+      Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+          "answered " + InMs(client_try.ended - client_try.sent) + " after it was sent; its deadline is " +
+              InMs(client_try.timeout));
     }
-    if (Served(t.end)) {
-      const bool made = std::any_of(r.attempts.begin(), r.attempts.end(), [&](const AttemptRecord* c) {
-        return c->serial == t.serial && (c->fate == Fate::kHit || c->fate == Fate::kServed);
-      });
-      if (!made) Add(Rule::kAnswer, t.id, -1, t.ended, "served with what no machine made for it");
+    if (Served(client_try.end)) {
+      const bool made =
+          std::any_of(history.attempts.begin(), history.attempts.end(), [&](const AttemptRecord* attempt) {
+            return attempt->serial == client_try.serial &&
+                   (attempt->fate == Fate::kHit || attempt->fate == Fate::kServed);
+          });
+      if (!made)
+        Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
+            "no server made this value or receipt for the request");
     }
   }
 
-  void JudgeOnce(RequestId id, const Request& r) {
-    if (r.sent == nullptr) {
-      for (const AttemptRecord* c : r.attempts) {
-        Add(Rule::kOnce, id, c->machine, c->whole, "an attempt that no client asked for");
+  void CheckAttempts(RequestId id, const RequestHistory& history) {
+    if (history.last_try == nullptr) {
+      for (const AttemptRecord* attempt : history.attempts) {
+        Add(Rule::kOnce, id, attempt->machine, attempt->whole, "an attempt without a client's request");
       }
       return;
     }
-    const ClassPlan& plan = truth_.scenario.classes[truth_.load.intents[r.sent->intent].request_class];
-    // What its client sent once more is a request of its own to the router that takes it.
-    const auto again = std::count_if(r.attempts.begin(), r.attempts.end(), [&r](const AttemptRecord* c) {
-      return r.sent->resent && c->whole >= r.sent->sent;
-    });
-    const auto most = std::max<std::ptrdiff_t>(again, std::ssize(r.attempts) - again);
-    if (most > truth_.scenario.rules.max_attempts) {
-      Add(Rule::kOnce, id, r.attempts.back()->machine, r.attempts.back()->whole,
-          std::to_string(most) + " attempts");
+    const ClassPlan& plan =
+        truth_.scenario.classes[truth_.load.intents[history.last_try->intent].request_class];
+    // A request that its client sent again is a new request to the router that receives it.
+    const auto resent_attempts = std::count_if(
+        history.attempts.begin(), history.attempts.end(), [&history](const AttemptRecord* attempt) {
+          return history.last_try->resent && attempt->whole >= history.last_try->sent;
+        });
+    const auto attempts =
+        std::max<std::ptrdiff_t>(resent_attempts, std::ssize(history.attempts) - resent_attempts);
+    if (attempts > truth_.scenario.rules.max_attempts) {
+      Add(Rule::kOnce, id, history.attempts.back()->machine, history.attempts.back()->whole,
+          std::to_string(attempts) + " attempts");
     }
     Time first_run{0};
-    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      const AttemptRecord& c = *r.attempts[i];
-      // What its client sent once more, on a connection that closed, is a repeat of the client's making.
-      const bool by_client = r.sent->resent && c.whole >= r.sent->sent;
-      if (by_client && i > 0 && r.attempts[i - 1]->whole < r.sent->sent) first_run = Time(0);
+    for (std::size_t i = 0; i < history.attempts.size(); ++i) {
+      const AttemptRecord& attempt = *history.attempts[i];
+      // When its connection closes and the client sends the request again, the repeat is the client's.
+      const bool by_client = history.last_try->resent && attempt.whole >= history.last_try->sent;
+      if (by_client && i > 0 && history.attempts[i - 1]->whole < history.last_try->sent)
+        first_run = Time(0);
       for (std::size_t j = 0; j < i; ++j) {
-        const AttemptRecord& earlier = *r.attempts[j];
-        if (by_client && earlier.whole < r.sent->sent) continue;
-        if (earlier.end == Time(0) || earlier.end > c.whole) {
-          Add(Rule::kOnce, id, c.machine, c.whole,
-              "a second attempt while the one at machine " + Name(earlier.machine) + " was out");
+        const AttemptRecord& earlier = *history.attempts[j];
+        if (by_client && earlier.whole < history.last_try->sent) continue;
+        if (earlier.end == Time(0) || earlier.end > attempt.whole) {
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
+              "a second attempt while the one at " + Uid(earlier.machine) + " was open");
         }
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a write that may have run went out again");
-        } else if (c.whole > first_run + plan.window + slack_ + Held(c.router, first_run, c.whole)) {
-          Add(Rule::kOnce, id, c.machine, c.whole, "a keyed write went out again after its window");
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole, "a write that may have run was sent again");
+        } else if (attempt.whole > first_run + plan.window + slack_ +
+                                       SuspendedFor(attempt.router, first_run, attempt.whole)) {
+          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
+              "a keyed write was sent again after its window");
         }
       }
-      if (first_run == Time(0) && MayHaveRun(c)) first_run = c.whole;
+      if (first_run == Time(0) && MayHaveRun(attempt)) first_run = attempt.whole;
     }
-    if (plan.repeats == Repeats::kNever && first_run != Time(0) && r.sent->end == TryEnd::kBusy) {
-      Add(Rule::kOnce, id, -1, r.sent->ended, "refused as never run, though it may have run");
+    if (plan.repeats == Repeats::kNever && first_run != Time(0) && history.last_try->end == TryEnd::kBusy) {
+      Add(Rule::kOnce, id, -1, history.last_try->ended, "refused as not run, although it may have run");
     }
   }
 
-  // Was this router there in all of that time, under one configuration, and discovery in no such trouble
-  // that most calls fail?
-  bool CouldBeReached(int router, Time from, Time until) const {
+  // Whether the router can be expected to have received a list in that time: it was up throughout, with one
+  // configuration, and no fault of discovery made most calls fail.
+  bool CouldReceiveList(int router, Time from, Time until) const {
     const auto within = [&](Time at) { return at > from && at < until; };
     for (const Absence& a : truth_.absences) {
       if (a.router == router && a.from < until && a.until > from) return false;
@@ -201,11 +225,11 @@
     return std::none_of(truth_.scenario.faults.begin(), truth_.scenario.faults.end(),
                         [&](const FaultPlan& f) {
                           const Time begun = truth_.start + f.at;
-                          return KeepsFromDiscovery(f) && begun < until && begun + f.length > from;
+                          return BlocksDiscovery(f) && begun < until && begun + f.length > from;
                         });
   }
 
-  bool KeepsFromDiscovery(const FaultPlan& f) const {
+  bool BlocksDiscovery(const FaultPlan& f) const {
     switch (f.kind) {
       case FaultKind::kDiscovery:
       case FaultKind::kListSlow:
@@ -216,117 +240,121 @@
       case FaultKind::kListQueue: {
         const auto& s = truth_.scenario;
         const auto routers = s.routers.per_hall * static_cast<std::int64_t>(s.halls.size());
-        return f.delay * routers > kMostQueue;
+        return f.delay * routers > kMaxQueueDelay;
       }
       case FaultKind::kListHalf:
       case FaultKind::kListReset:
       case FaultKind::kListDeaf:
       case FaultKind::kListBusy:
       case FaultKind::kListOld:
-        return f.share > kMostFailedCalls;
+        return f.share > kMaxFailedCallShare;
       default:
         return false;
     }
   }
 
-  void JudgeDrains() {
-    std::map<std::pair<int, int>, Time> told;
-    for (const ToldRecord& t : truth_.world.told) {
-      if (t.by_time && !CouldBeReached(t.router, t.at - kToldAfter, t.at)) continue;
-      const auto [it, first] = told.emplace(std::pair(t.router, t.machine), t.at);
-      if (!first) it->second = std::min(it->second, t.at);
+  void CheckDrains() {
+    std::map<std::pair<int, int>, Time> notices;
+    for (const RemovalNotice& notice : truth_.world.removal_notices) {
+      if (notice.assumed && !CouldReceiveList(notice.router, notice.at - kNoticeAssumedAfter, notice.at))
+        continue;
+      const auto [it, first] = notices.emplace(std::pair(notice.router, notice.server), notice.at);
+      if (!first) it->second = std::min(it->second, notice.at);
     }
-    for (const AttemptRecord& c : truth_.world.attempts) {
-      const auto it = told.find({c.router, c.machine});
-      if (it == told.end()) continue;
-      const Duration after = c.first - it->second;
-      if (after > truth_.scenario.rules.drain_grace + slack_ + Held(c.router, it->second, c.first)) {
-        Add(Rule::kDrain, c.request, c.machine, c.first,
-            "sent to " + Name(c.machine) + " " + InMs(after) + " after its router was told that it goes");
+    for (const AttemptRecord& attempt : truth_.world.attempts) {
+      const auto it = notices.find({attempt.router, attempt.machine});
+      if (it == notices.end()) continue;
+      const Duration delay = attempt.first - it->second;
+      if (delay > truth_.scenario.rules.drain_grace + slack_ +
+                      SuspendedFor(attempt.router, it->second, attempt.first)) {
+        Add(Rule::kDrain, attempt.request, attempt.machine, attempt.first,
+            "sent to " + Uid(attempt.machine) + " " + InMs(delay) +
+                " after its router was notified that it leaves service");
       }
     }
   }
 
-  void JudgePushes() {
-    double most = 0;
-    for (const ClassPlan& c : truth_.scenario.classes) most = std::max(most, c.work_ms / 1000);
+  void CheckOverload() {
+    double max_work_s = 0;
+    for (const ClassPlan& c : truth_.scenario.classes) max_work_s = std::max(max_work_s, c.work_ms / 1000);
     const RulePlan& rules = truth_.scenario.rules;
-    std::vector<PushMeter> meters(truth_.world.machines.size(),
-                                  PushMeter(rules.fall_multiple, rules.fall, 4 * most));
-    std::vector<bool> pushed(meters.size());
-    std::vector<Time> lives(meters.size());  // the start that each meter counts from
-    for (const AttemptRecord& c : truth_.world.attempts) {
-      const auto n = static_cast<std::size_t>(c.machine);
-      const MachineRecord& m = truth_.world.machines[n];
-      if (c.machine == kOrigin || pushed[n]) continue;
-      const Capacity then = m.CapacityAt(c.whole);
-      if (!then.Cold(c.whole)) continue;
-      if (then.started != lives[n]) {
-        meters[n] = PushMeter(rules.fall_multiple, rules.fall, 4 * most);
-        lives[n] = then.started;
+    std::vector<OverloadMeter> meters(truth_.world.machines.size(),
+                                      OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
+    std::vector<bool> overloaded(meters.size());
+    std::vector<Time> counted_start(meters.size());  // the start of the process that each meter counts for
+    for (const AttemptRecord& attempt : truth_.world.attempts) {
+      const auto n = static_cast<std::size_t>(attempt.machine);
+      const MachineRecord& server = truth_.world.machines[n];
+      if (attempt.machine == kOrigin || overloaded[n]) continue;
+      const Capacity then = server.CapacityAt(attempt.whole);
+      if (!then.Cold(attempt.whole)) continue;
+      if (then.started != counted_start[n]) {
+        meters[n] = OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
+        counted_start[n] = then.started;
       }
-      const double full = meters[n].Add(c.whole, c.work_s, then.At(c.whole));
+      const double full = meters[n].Add(attempt.whole, attempt.work_s, then.At(attempt.whole));
       if (full <= 1) continue;
-      pushed[n] = true;
-      Add(Rule::kColdPush, c.request, c.machine, c.whole,
-          Name(c.machine) + ", " + InMs(c.whole - then.started) + " after its start, was sent more than " +
-              std::to_string(rules.fall_multiple).substr(0, 4) + " times what it can do");
+      overloaded[n] = true;
+      Add(Rule::kColdPush, attempt.request, attempt.machine, attempt.whole,
+          Uid(attempt.machine) + ", " + InMs(attempt.whole - then.started) +
+              " after its start, was sent more than " + std::to_string(rules.fall_multiple).substr(0, 4) +
+              " times its capacity");
     }
     for (const Time fell : truth_.world.origin_fell) {
       double all = 0, cold = 0;
-      for (const AttemptRecord& c : truth_.world.attempts) {
-        if (c.machine != kOrigin || c.whole > fell || c.whole <= fell - truth_.scenario.origin.fall)
+      for (const AttemptRecord& attempt : truth_.world.attempts) {
+        if (attempt.machine != kOrigin || attempt.whole > fell ||
+            attempt.whole <= fell - truth_.scenario.origin.fall)
           continue;
-        all += c.work_s;
-        cold += c.cold_miss ? c.work_s : 0;
+        all += attempt.work_s;
+        cold += attempt.after_cold_miss ? attempt.work_s : 0;
       }
       if (cold > 0.3 * all) {
         Add(Rule::kColdPush, 0, kOrigin, fell,
-            "the origin fell under load, much of it misses at cold nodes");
+            "the origin was overloaded, with a large share of the load from misses at cold cache servers");
       }
     }
   }
 
-  std::string Name(int machine) const {
-    return truth_.world.machines[static_cast<std::size_t>(machine)].uid;
-  }
+  std::string Uid(int server) const { return truth_.world.machines[static_cast<std::size_t>(server)].uid; }
 
   const Truth& truth_;
   Duration slack_;
-  std::unordered_map<RequestId, Request> requests_;
+  std::unordered_map<RequestId, RequestHistory> requests_;
   std::vector<Breach> breaches_;
 };
 
 }  // namespace
 
-std::vector<Breach> Judge(const Truth& truth) { return Court(truth).Sit(); }
+std::vector<Breach> Judge(const Truth& truth) { return RuleChecker(truth).Check(); }
 
 std::string Story(const Truth& truth, const Breach& breach) {
   std::ostringstream out;
   const auto at = [&](Time t) { return InMs(t - truth.start); };
-  out << "rule '" << kRuleNames[static_cast<std::size_t>(breach.rule)] << "' broken at " << at(breach.at)
+  out << "rule '" << kRuleNames[static_cast<std::size_t>(breach.rule)] << "' violated at " << at(breach.at)
       << ": " << breach.what << "\n";
   if (breach.request == 0) return out.str();
   const std::string id = IdText(breach.request);
   out << "request " << id << "\n";
   Time from = breach.at, until = breach.at;
-  for (const TryRecord& t : truth.load.tries) {
-    if (t.id != breach.request) continue;
-    const Intent& intent = truth.load.intents[t.intent];
-    out << "  client: " << truth.scenario.classes[intent.request_class].name << ", meant for "
-        << at(intent.at) << ", try " << int{t.number} + 1 << ", sent " << at(t.sent) << " to router "
-        << t.router << " for at most " << InMs(t.wait) << (t.resent ? " (once more)" : "") << "; "
-        << kTryNames[static_cast<std::size_t>(t.end)] << " at " << at(t.ended) << "\n";
-    from = std::min(from, t.sent);
-    until = std::max(until, t.ended);
+  for (const TryRecord& client_try : truth.load.tries) {
+    if (client_try.id != breach.request) continue;
+    const Intent& intent = truth.load.intents[client_try.intent];
+    out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
+        << at(intent.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
+        << " to router " << client_try.router << " with a deadline of " << InMs(client_try.timeout)
+        << (client_try.resent ? " (sent again)" : "") << "; "
+        << kTryNames[static_cast<std::size_t>(client_try.end)] << " at " << at(client_try.ended) << "\n";
+    from = std::min(from, client_try.sent);
+    until = std::max(until, client_try.ended);
   }
-  for (const AttemptRecord& c : truth.world.attempts) {
-    if (c.request != breach.request) continue;
-    out << "  " << truth.world.machines[static_cast<std::size_t>(c.machine)].uid << ": from router "
-        << c.router << ", first byte " << at(c.first) << ", whole " << at(c.whole) << "; "
-        << kFateNames[static_cast<std::size_t>(c.fate)];
-    if (c.end != Time(0)) out << " at " << at(c.end);
-    out << (c.applied ? "; took effect" : "") << "\n";
+  for (const AttemptRecord& attempt : truth.world.attempts) {
+    if (attempt.request != breach.request) continue;
+    out << "  " << truth.world.machines[static_cast<std::size_t>(attempt.machine)].uid << ": from router "
+        << attempt.router << ", first byte " << at(attempt.first) << ", complete " << at(attempt.whole)
+        << "; " << kFateNames[static_cast<std::size_t>(attempt.fate)];
+    if (attempt.end != Time(0)) out << " at " << at(attempt.end);
+    out << (attempt.applied ? "; applied" : "") << "\n";
   }
   for (std::size_t r = 0; r < truth.router_logs.size(); ++r) {
     std::ifstream log(truth.router_logs[r]);
--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -1,4 +1,5 @@
-// An cache server: keeps values by key, answers reads from them and everything else with a miss.
+// An emulated cache server: stores values by key, answers reads of stored keys with a value and every other
+// request with a miss.
 #ifndef BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 #define BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 
@@ -8,28 +9,28 @@
 
 namespace brasswood::lab {
 
-class CacheServer : public Machine {
+class CacheServer : public BackendServer {
  public:
   CacheServer(World& world, int number, const NodePlan& plan);
   KeyStore& store() { return store_; }
   const NodePlan& plan() const { return plan_; }
-  // Its process starts anew at the same addresses, cold and empty.
+  // Starts its process again at the same addresses, cold and with an empty store.
   void Restart();
   bool alive() const { return alive_; }
-  void Die();
-  // From now on it turns everything away.
-  void Retire() { leaving_ = true; }
+  void Kill();
+  // From now on it rejects every request as busy.
+  void RejectAll() { rejecting_ = true; }
 
  private:
-  void OnPeer(Peer& peer) override;
-  void OnBytes(Peer& peer) override;
-  void Worked(Peer& peer, const Attempt& attempt) override;
-  void Take(Peer& peer, const RequestContent& request);
+  void OnConnected(Peer& peer) override;
+  void OnData(Peer& peer) override;
+  void OnWorkDone(Peer& peer, const Attempt& attempt) override;
+  void HandleRequest(Peer& peer, const RequestContent& request);
 
   NodePlan plan_;
   KeyStore store_;
-  PushMeter meter_;
-  bool alive_ = true, leaving_ = false;
+  OverloadMeter meter_;
+  bool alive_ = true, rejecting_ = false;
 };
 
 }  // namespace brasswood::lab
--- a/lab/world/discovery.h
+++ b/lab/world/discovery.h
@@ -1,4 +1,4 @@
-// Discovery: the list of machines, whole or as a watch on changes, over HTTP.
+// The emulated discovery service: serves the server list over HTTP, complete or as a long poll for changes.
 #ifndef BRASSWOOD_LAB_WORLD_DISCOVERY_H_
 #define BRASSWOOD_LAB_WORLD_DISCOVERY_H_
 
@@ -13,41 +13,47 @@
 
 class World;
 
-enum class Listed { kInService, kTerminating, kTerminated };
+enum class ServiceState { kInService, kTerminating, kTerminated };
 
-// What ails discovery, beside its links: shares of its calls or answers.
-struct DiscoveryTrouble {
-  Duration each{0};      // it takes for a call
-  bool in_turn = false;  // one after the other, forsaken ones too
-  double half = 0, reset = 0, deaf = 0, busy = 0, old = 0;
-  Duration late{0};    // from taking what is answered at once to writing it
-  Duration pieces{0};  // over which an answer is written
-  Duration lag{0};     // from a change to this address's hearing of it
+// Injected faults of discovery, interval from those of its links.
+struct DiscoveryFaults {
+  Duration call_time{0};       // time to serve a call
+  bool one_at_a_time = false;  // serves calls one after the other, also those whose caller has gone
+  double truncated = 0;        // share of the answers that stop half-way, the connection left open
+  double reset = 0;            // share of the answers that stop half-way with a reset
+  double unanswered = 0;       // share of the calls that are accepted and never answered
+  double busy = 0;             // share of the calls that are answered with 503
+  double stale = 0;            // share of the answers that carry a list older than the one the caller has
+  Duration answer_delay{0};    // delay between composing an answer and writing it
+  Duration write_time{0};      // time over which an answer is written in equal pieces
+  Duration update_lag{0};      // delay until a change of the list is visible at this address
 };
 
 class Discovery : public Server {
  public:
   Discovery(World& world, int routers);
-  // Lists the machine so, from now on, or once this address hears of it; the world sees to other lateness.
-  void List(int machine, Listed state);
-  // The list in discovery's form takes a router's own endpoints between texts that are the same for all:
-  // made once a change, not once a router. Compose is free of the rest, and may run on any thread.
-  struct Line {
+  // Lists the server in that state, from now on or, with `update_lag`, once the change is visible at this
+  // address. Every other delay is the world's.
+  void SetState(int server, ServiceState state);
+  // One entry of the list in discovery's form. Each router sees endpoints of its own; the text around the
+  // endpoint is the same for all and is formatted once a change, not once a router. FormatList uses nothing
+  // but its arguments and may run on any thread.
+  struct ListLine {
     std::int64_t rev = 0;
     bool terminated = false;
     std::uint16_t port = 0;
-    std::string before, after;  // the endpoint
+    std::string before, after;  // the text before and after the endpoint
   };
-  const std::vector<Line>& Lines() const { return lines_; }
+  const std::vector<ListLine>& lines() const { return lines_; }
   std::int64_t rev() const { return rev_; }
-  DiscoveryTrouble& trouble() { return trouble_; }
-  static std::string Compose(const std::vector<Line>& lines, std::int64_t rev, std::int64_t since,
-                             bool whole, int router);
+  DiscoveryFaults& faults() { return faults_; }
+  static std::string FormatList(const std::vector<ListLine>& lines, std::int64_t rev, std::int64_t since,
+                                bool full_list, int router);
 
  private:
   struct Entry {
-    int machine = 0;
-    Listed state = Listed::kInService;
+    int server = 0;
+    ServiceState state = ServiceState::kInService;
     std::int64_t rev = 0;
   };
   struct Watch {
@@ -55,39 +61,39 @@
     std::int64_t since = 0;
     Deadlines::Id deadline;
   };
-  void OnBytes(Peer& peer) override;
-  void OnGone(Peer& peer, bool reset) override;
-  bool Room();
-  void TakeCall(std::uint64_t id, const HttpRequest& request);
+  void OnData(Peer& peer) override;
+  void OnClosed(Peer& peer, bool reset) override;
+  bool AdmitCall();
+  void ScheduleCall(std::uint64_t id, const HttpRequest& request);
   void Serve(std::uint64_t id, const HttpRequest& request);
-  // Told in the part of the answer that was written, by the judge's terms.
-  void NoteTold(const Peer& peer, std::int64_t since, bool whole, std::string_view written);
-  void Hear(int machine, Listed state);
-  void Tell(Peer& peer, std::int64_t since, bool whole);
-  // An answer as it was made, and how far it has been written.
+  // Records which servers the written part of an answer notifies the router of as leaving service.
+  void RecordNotices(const Peer& peer, std::int64_t since, bool full_list, std::string_view written);
+  void ApplyState(int server, ServiceState state);
+  void SendList(Peer& peer, std::int64_t since, bool full_list);
+  // An answer that is written in pieces, and how much of it has been written.
   struct Outgoing {
     std::uint64_t peer = 0;
     std::int64_t since = 0;
-    bool whole = false;
+    bool full_list = false;
     std::string text;
     std::size_t written = 0;
   };
-  void Deliver(Peer& peer, std::int64_t since, bool whole, const std::string& text);
-  void WriteNextPiece(Outgoing out, Duration apart);
-  std::string Text(int router, std::int64_t since, bool whole) const {
-    return Compose(lines_, rev_, since, whole, router);
+  void WriteList(Peer& peer, std::int64_t since, bool full_list, const std::string& text);
+  void WriteNextPiece(Outgoing out, Duration interval);
+  std::string ListFor(int router, std::int64_t since, bool full_list) const {
+    return FormatList(lines_, rev_, since, full_list, router);
   }
 
   World& world_;
   std::vector<Entry> entries_;
-  std::vector<Line> lines_;  // by entry
+  std::vector<ListLine> lines_;  // by entry
   std::vector<Watch> watches_;
   std::int64_t rev_ = 1;
-  double room_ = 0;  // calls that may come now
-  Time filled_{0};
-  DiscoveryTrouble trouble_;
-  Time hears_at_{0};  // of the last change
-  Time free_{0};      // in turn: when the calls before are served
+  double call_tokens_ = 0;  // token bucket of the call rate limit: calls that are admitted now
+  Time tokens_filled_{0};   // when the bucket was last filled
+  DiscoveryFaults faults_;
+  Time visible_at_{0};            // when the latest change is visible at this address
+  Time earlier_calls_served_{0};  // with `one_at_a_time`: when all earlier calls are served
   Rng rng_;
 };
 
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -6,7 +6,7 @@
 namespace brasswood::lab {
 
 Origin::Origin(World& world, const OriginPlan& plan)
-    : Machine(world, kOrigin, plan.cores, 1, plan.waiting),
+    : BackendServer(world, kOrigin, plan.cores, 1, plan.waiting),
       plan_(plan),
       meter_(plan.fall_multiple, plan.fall, 0) {}
 
@@ -20,77 +20,78 @@
   });
 }
 
-void Origin::OnBytes(Peer& peer) {
+void Origin::OnData(Peer& peer) {
   const std::uint64_t id = peer.id;
   HttpRequest request;
   while (TakeRequest(id, request)) {
     if (request.path.starts_with("/-/")) {  // a probe
-      if (!ailment().hang) Write(peer, HttpReply(200, "", ""));
+      if (!faults().hang) Write(peer, HttpReply(200, "", ""));
       continue;
     }
     const bool write = request.method == "PUT";
-    const RequestId asked = ReadId(request.id);
+    const RequestId asked = ParseId(request.id);
     Rng rng(Mix(asked ^ world_.scenario().seed), static_cast<std::uint64_t>(Stream::kContents));
     const double work =
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
-    const std::size_t n = Enter(peer, asked, work, write);
-    AttemptRecord& c = world_.truth().attempts[n];
-    c.cold_miss = !write && world_.MissedCold(asked);
+    const std::size_t record = RecordAttempt(peer, asked, work, write);
+    AttemptRecord& attempt_record = world_.truth().attempts[record];
+    attempt_record.after_cold_miss = !write && world_.MissedAtColdServer(asked);
     Pending pending;
     pending.request_class = world_.ClassOf(request.labels);
     EachLabel(request.labels, [&](std::string_view name, std::string_view value) {
       if (name == "k") pending.write_key = value;
     });
     const Time now = loop().Now();
-    // Its capacity counts as one second of work a second on each core.
-    const bool falls = meter_.Add(now, work, plan_.cores) > 1;
+    // Its capacity is one second of work each second on each core.
+    const bool overloaded = meter_.Add(now, work, plan_.cores) > 1;
     const std::string key = request.path.substr(1);
-    pending_.emplace(n, std::move(pending));
-    if (!ailment().hang && !Work(peer, n, work, key)) {
-      pending_.erase(n);
-      Conclude(peer, n, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
+    pending_.emplace(record, std::move(pending));
+    if (!faults().hang && !Enqueue(peer, record, work, key)) {
+      pending_.erase(record);
+      FinishAttempt(peer, record, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
     }
-    if (falls && down_until_ <= now) {
-      record().fell = true;
+    if (overloaded && down_until_ <= now) {
+      server_record().fell = true;
       world_.truth().origin_fell.push_back(now);
       return Stop(plan_.down);
     }
   }
 }
 
-// An answer, now and then one that states no length: half of these end with an orderly close and are whole,
-// the others are cut by a reset.
+// Writes an answer. While the fault is on, a share of the answers state no length: half of these are
+// complete and end with an orderly close, the others are truncated by a reset.
 void Origin::Reply(Peer& peer, std::size_t record, const std::string& body) {
-  if (!Chance(rng_, ailment().no_length)) {
-    return Conclude(peer, record, Fate::kServed, HttpReply(200, "", body));
+  if (!Chance(rng_, faults().no_length)) {
+    return FinishAttempt(peer, record, Fate::kServed, HttpReply(200, "", body));
   }
-  const bool whole = Chance(rng_, 0.5);
+  const bool complete = Chance(rng_, 0.5);
   const std::uint64_t id = peer.id;
-  const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (whole ? body : body.substr(0, body.size() / 2));
-  Conclude(peer, record, whole ? Fate::kServed : Fate::kSpoilt, text);
-  AttemptRecord& c = world_.truth().attempts[record];
-  c.no_length = whole && c.fate == Fate::kServed;
-  EndWhenWritten(id, whole);
+  const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (complete ? body : body.substr(0, body.size() / 2));
+  FinishAttempt(peer, record, complete ? Fate::kServed : Fate::kMalformed, text);
+  AttemptRecord& attempt_record = world_.truth().attempts[record];
+  attempt_record.no_length = complete && attempt_record.fate == Fate::kServed;
+  EndWhenWritten(id, complete);
 }
 
 void Origin::EndWhenWritten(std::uint64_t id, bool in_order) {
   loop().deadlines().Set(loop().Now() + std::chrono::milliseconds(2), [this, id, in_order] {
     Peer* peer = FindPeer(id);
     if (peer == nullptr) return;
-    if (!in_order) return Break(*peer, true);
+    if (!in_order) return Close(*peer, true);
     if (evbuffer_get_length(bufferevent_get_output(peer->buffer.get())) != 0)
       return EndWhenWritten(id, true);
     ::shutdown(bufferevent_getfd(peer->buffer.get()), SHUT_WR);
   });
 }
 
-void Origin::Worked(Peer& peer, const Attempt& attempt) {
-  AttemptRecord& c = world_.truth().attempts[attempt.record];
+void Origin::OnWorkDone(Peer& peer, const Attempt& attempt) {
+  AttemptRecord& attempt_record = world_.truth().attempts[attempt.record];
   const Pending pending = std::move(pending_[attempt.record]);
   pending_.erase(attempt.record);
-  if (!c.write) {
-    world_.Stored(c.request, attempt.key);
-    const std::string value = MakeValue(c.request, c.serial, SizeOf(world_.scenario(), attempt.key));
+  if (!attempt_record.write) {
+    world_.StoreFetched(attempt_record.request, attempt.key);
+    const std::string value =
+        MakeValue(attempt_record.request, attempt_record.serial, SizeOf(world_.scenario(), attempt.key));
     return Reply(peer, attempt.record, value);
   }
   const ClassPlan& plan = world_.scenario().classes[pending.request_class];
@@ -102,10 +103,10 @@
     if (!repeat) it->second = now;
   }
   if (!repeat) {
-    c.applied = true;
+    attempt_record.applied = true;
     world_.DropCopies(attempt.key);
   }
-  Reply(peer, attempt.record, "r" + std::to_string(c.serial));
+  Reply(peer, attempt.record, "r" + std::to_string(attempt_record.serial));
 }
 
 }  // namespace brasswood::lab
--- a/lab/world/station.h
+++ b/lab/world/station.h
@@ -1,5 +1,5 @@
-// The cores of a machine and the room in which requests wait for one, first come first served. Free of time
-// and I/O: its host says when a request begins and ends.
+// The cores of a server and the bounded first-in-first-out queue of requests that wait for one. It has no
+// notion of time and does no I/O: its owner says when a request begins and ends.
 #ifndef BRASSWOOD_LAB_WORLD_STATION_H_
 #define BRASSWOOD_LAB_WORLD_STATION_H_
 
@@ -11,37 +11,36 @@
 
 namespace brasswood::lab {
 
-class Station {
+class WorkQueue {
  public:
   using Token = std::uint64_t;
-  enum class Took { kStarted, kWaits, kFull };
+  enum class Admission { kStarted, kQueued, kFull };
 
-  Station(int cores, int waiting)
-      : cores_(static_cast<std::size_t>(cores)), room_(static_cast<std::size_t>(waiting)) {}
+  WorkQueue(int cores, int waiting)
+      : cores_(static_cast<std::size_t>(cores)), queue_limit_(static_cast<std::size_t>(waiting)) {}
 
-  Took Take(Token token) {
+  Admission Submit(Token token) {
     if (running_.size() < cores_) {
       running_.insert(token);
-      return Took::kStarted;
+      return Admission::kStarted;
     }
-    if (waiting_.size() >= room_) return Took::kFull;
+    if (waiting_.size() >= queue_limit_) return Admission::kFull;
     waiting_.push_back(token);
-    return Took::kWaits;
+    return Admission::kQueued;
   }
-  // The request is done or called off. Returns the one that begins in its place, if any.
-  std::optional<Token> End(Token token) {
+  // The request is finished or cancelled. Returns the queued request that starts in its place, if any.
+  std::optional<Token> Finish(Token token) {
     if (running_.erase(token) == 0) {
       const auto it = std::find(waiting_.begin(), waiting_.end(), token);
       if (it != waiting_.end()) waiting_.erase(it);
       return std::nullopt;
     }
-    return Next();
+    return StartNext();
   }
-  // A neighbour takes cores, or gives them back: what runs goes on, and what waits begins as cores come
-  // free.
+  // Changes the number of cores. Running requests go on; queued ones start as cores become free.
   void SetCores(int cores) { cores_ = static_cast<std::size_t>(cores); }
-  // A request that may begin now, if one waits and there is a core for it.
-  std::optional<Token> Next() {
+  // Starts the next queued request, if there is one and a core is free for it, and returns it.
+  std::optional<Token> StartNext() {
     if (waiting_.empty() || running_.size() >= cores_) return std::nullopt;
     const Token next = waiting_.front();
     waiting_.pop_front();
@@ -52,7 +51,7 @@
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
-  std::size_t cores_, room_;
+  std::size_t cores_, queue_limit_;
   std::unordered_set<Token> running_;
   std::deque<Token> waiting_;
 };
