--- a/lab/base/histogram.h
+++ b/lab/base/histogram.h
@@ -1,5 +1,5 @@
-// Latencies in a histogram of logarithmic bins, 1.5% wide, from 10 us to 100 s. A percentile is the upper
-// edge of its bin and always comes with the count that it rests on.
+// Latency histogram with logarithmic bins, 1.5% wide, from 10 us to 100 s. A percentile is reported as the
+// upper edge of its bin; count() gives the number of samples behind it.
 #ifndef BRASSWOOD_LAB_BASE_HISTOGRAM_H_
 #define BRASSWOOD_LAB_BASE_HISTOGRAM_H_
 
@@ -18,14 +18,14 @@
     ++count_;
   }
   std::uint64_t count() const { return count_; }
-  // In milliseconds; 0 where nothing was counted. `share` is above 0 and at most 1.
+  // In milliseconds; 0 if the histogram is empty. `share` is in (0, 1].
   double Percentile(double share) const {
     if (count_ == 0) return 0;
-    const auto wanted = static_cast<double>(count_) * share;
+    const auto target = static_cast<double>(count_) * share;
     double seen = 0;
     for (auto&& bin : boost::histogram::indexed(bins_, boost::histogram::coverage::all)) {
       seen += *bin;
-      if (seen >= wanted) return bin.index() < 0 ? 0.01 : bin.bin().upper() > 1e5 ? 1e5 : bin.bin().upper();
+      if (seen >= target) return bin.index() < 0 ? 0.01 : bin.bin().upper() > 1e5 ? 1e5 : bin.bin().upper();
     }
     return 1e5;
   }
--- a/lab/base/lag_meter.h
+++ b/lab/base/lag_meter.h
@@ -1,4 +1,5 @@
-// How late a loop runs: a beat every 5 ms that notes by how much it was missed, and what its thread costs.
+// Measures event loop lag with a timer that fires every 5 ms and records how late it ran; also reads the
+// CPU time of the current thread.
 #ifndef BRASSWOOD_LAB_BASE_LAG_METER_H_
 #define BRASSWOOD_LAB_BASE_LAG_METER_H_
 
@@ -18,29 +19,32 @@
  public:
   void Start(Loop& loop) {
     loop_ = &loop;
-    Beat();
+    ScheduleTick();
   }
   void Stop() {
-    if (loop_ != nullptr) loop_->deadlines().Drop(beat_);
+    if (loop_ != nullptr) loop_->deadlines().Drop(timer_);
   }
-  Duration most() const { return most_; }
-  std::uint64_t late() const { return late_; }
+  // The largest lag measured so far.
+  Duration most() const { return max_lag_; }
+  // The number of ticks that ran more than kLateThreshold late.
+  std::uint64_t late() const { return late_ticks_; }
 
  private:
-  static constexpr Duration kEvery = std::chrono::milliseconds(5);
-  void Beat() {
-    const Time due = loop_->Now() + kEvery;
-    beat_ = loop_->deadlines().Set(due, [this, due] {
+  static constexpr Duration kInterval = std::chrono::milliseconds(5);
+  static constexpr Duration kLateThreshold = std::chrono::milliseconds(20);
+  void ScheduleTick() {
+    const Time due = loop_->Now() + kInterval;
+    timer_ = loop_->deadlines().Set(due, [this, due] {
       const Duration lag = loop_->Now() - due;
-      most_ = std::max(most_, lag);
-      late_ += lag > std::chrono::milliseconds(20);
-      Beat();
+      max_lag_ = std::max(max_lag_, lag);
+      late_ticks_ += lag > kLateThreshold;
+      ScheduleTick();
     });
   }
   Loop* loop_ = nullptr;
-  Deadlines::Id beat_;
-  Duration most_{0};
-  std::uint64_t late_ = 0;
+  Deadlines::Id timer_;
+  Duration max_lag_{0};
+  std::uint64_t late_ticks_ = 0;
 };
 
 }  // namespace brasswood::lab
--- a/lab/base/plan.h
+++ b/lab/base/plan.h
@@ -1,6 +1,6 @@
-// What the schedule of a run decides without a socket: the work of a request, the size of a key, the
-// faults' windows. Pure functions of the scenario and the id, so that both sides of a run, and two runs of
-// one seed, agree on them.
+// The parts of a run that follow from the scenario alone: the work of a request, the size of a value, the
+// time windows and victims of faults. They are pure functions of the scenario and an id, so the load
+// generator and the emulator agree on them, and so do two runs with the same seed.
 #ifndef BRASSWOOD_LAB_BASE_PLAN_H_
 #define BRASSWOOD_LAB_BASE_PLAN_H_
 
@@ -21,12 +21,12 @@
   return since_start >= f.at && since_start < f.at + f.length;
 }
 
-// Seconds of a core of speed 1.
+// The work of a request, in seconds of a core of speed 1.
 inline double WorkOf(const Scenario& s, std::size_t request_class, std::uint64_t id, Duration since_start) {
   const ClassPlan& c = s.classes[request_class];
   Rng rng(Mix(id ^ s.seed), static_cast<std::uint64_t>(Stream::kWork));
   double work = LogNormal(rng, c.work_ms, c.work_cv) / 1000;
-  // An unbounded tail would make a run's figures depend on one request.
+  // Capped at 30 times the mean: with an unbounded tail a single request could decide a run's figures.
   work = std::min(work, c.work_ms / 1000 * 30);
   for (const FaultPlan& f : s.faults) {
     if (f.kind == FaultKind::kHeavy && Active(f, since_start) && Chance(rng, f.share)) work *= f.size;
@@ -34,27 +34,28 @@
   return work;
 }
 
-// When the fault is over: of restarts, when the last router is started for the last time.
+// When the fault is over; for restarts this is when the last router is started for the last time.
 inline Duration EndOf(const FaultPlan& f) {
   if (f.kind != FaultKind::kRestart) return f.at + f.length;
   return f.at + f.length + f.down + f.every * std::max<std::int64_t>(0, std::llround(f.size) - 1);
 }
 
-// Those of `all` that the fault hits: its count or its part of them, drawn by its number in the scenario.
+// Selects the members of `all` that the fault affects: `count` of them, or the share `part`. The random
+// draw depends on the fault's number in the scenario.
 template <class T>
 std::vector<T> Victims(const Scenario& s, std::size_t number, std::vector<T> all) {
   const FaultPlan& f = s.faults[number];
   Rng rng = MakeRng(Mix(s.seed * 131 + number), Stream::kFaults);
   std::shuffle(all.begin(), all.end(), rng);
   const double part = f.kind == FaultKind::kHallCut ? 1 : f.part;
-  const auto wanted = f.count > 0
-                          ? static_cast<std::size_t>(f.count)
-                          : static_cast<std::size_t>(std::ceil(part * static_cast<double>(all.size())));
-  all.resize(std::min(all.size(), wanted));
+  const auto victim_count =
+      f.count > 0 ? static_cast<std::size_t>(f.count)
+                  : static_cast<std::size_t>(std::ceil(part * static_cast<double>(all.size())));
+  all.resize(std::min(all.size(), victim_count));
   return all;
 }
 
-// The routers that a fault of links concerns: a part of all of them, drawn apart from its nodes.
+// The routers that a link fault affects: a share of all routers, drawn independently of its cache servers.
 inline std::vector<int> VictimRouters(const Scenario& s, std::size_t number) {
   const int all = static_cast<int>(s.halls.size()) * s.routers.per_hall;
   std::vector<int> routers;
@@ -65,8 +66,7 @@
   return routers;
 }
 
-// How much of its hall's traffic each router gets against the others: the busy ones are drawn from the
-// seed.
+// The relative weight of each router in the traffic of its zone. The busy routers are drawn from the seed.
 inline std::vector<double> RouterWeights(const Scenario& s) {
   std::vector<double> weights(s.halls.size() * static_cast<std::size_t>(s.routers.per_hall), 1);
   std::vector<std::size_t> order(weights.size());
@@ -78,7 +78,7 @@
   return weights;
 }
 
-// The group of a partition that a router (or node) falls into: the same count of each, as far as it goes.
+// The partition group of each of `count` routers (or cache servers). Group sizes differ by at most one.
 inline std::vector<int> Groups(const Scenario& s, std::size_t number, std::size_t count,
                                std::uint64_t salt) {
   std::vector<int> groups;
@@ -90,8 +90,8 @@
   return groups;
 }
 
-// Which of the nodes that a run begins with (numbered as machines: from 1) vanish in a machine_drop, and
-// the router that shares the machine with each.
+// The cache servers that a machine_drop fault removes, each with the router on the same machine. Only cache
+// servers present at the start of the run are considered; they are numbered from 1, as machines are.
 inline std::vector<std::pair<int, int>> Dropped(const Scenario& s, std::size_t number) {
   std::vector<std::pair<int, int>> all;
   std::vector<int> in_hall(s.halls.size());
@@ -107,10 +107,10 @@
   return Victims(s, number, std::move(all));
 }
 
-// The key of that rank of popularity.
+// The key with popularity rank `rank`.
 inline std::string KeyName(long long rank) { return "pkg-" + std::to_string(rank); }
 
-// Bytes of the value of a key.
+// The size of a key's value, in bytes.
 inline std::size_t SizeOf(const Scenario& s, std::string_view key) {
   std::uint64_t h = 1469598103934665603ull;  // FNV-1a
   for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ull;
--- a/lab/base/scenario.cpp
+++ b/lab/base/scenario.cpp
@@ -15,9 +15,9 @@
 Duration Ms(double ms) { return Duration(static_cast<std::int64_t>(ms * 1e6)); }
 Duration Seconds(double s) { return Ms(s * 1000); }
 
-constexpr double kHour = 3600;
+constexpr double kHourSeconds = 3600;
 
-int Hall(TomlReader& in, std::string_view key, const Scenario& s, int fallback) {
+int ReadHall(TomlReader& in, std::string_view key, const Scenario& s, int fallback) {
   const std::string name = in.Text(key, fallback < 0 ? "" : s.halls[static_cast<std::size_t>(fallback)]);
   if (name.empty()) return fallback;
   const auto it = std::find(s.halls.begin(), s.halls.end(), name);
@@ -49,7 +49,7 @@
 void ReadNodes(TomlReader& in, Scenario& s) {
   NodePlan n;
   n.kind = in.Text("kind", "node");
-  n.hall = Hall(in, "hall", s, 0);
+  n.hall = ReadHall(in, "hall", s, 0);
   n.count = in.Whole("count", n.count, 1, 1024);
   n.cores = in.Whole("cores", n.cores, 1, 256);
   n.speed = in.Number("speed", n.speed, 0.01, 100);
@@ -67,11 +67,11 @@
   const std::vector<std::string_view> names(std::begin(kFaultNames), std::end(kFaultNames));
   if (!in.Has("kind")) in.Complain("kind", "is missing");
   f.kind = static_cast<FaultKind>(in.Word("kind", "hang", names));
-  f.at = Seconds(in.Number("at_s", 0, 0, kHour));
-  f.length = Seconds(in.Number("for_s", 1, 0, kHour));
+  f.at = Seconds(in.Number("at_s", 0, 0, kHourSeconds));
+  f.length = Seconds(in.Number("for_s", 1, 0, kHourSeconds));
   f.part = in.Number("part", 0, 0, 1);
   f.count = in.Whole("count", 0, 0, 10000);
-  f.hall = Hall(in, "hall", s, -1);
+  f.hall = ReadHall(in, "hall", s, -1);
   f.size = in.Number("size", 1, 0, 100000);
   f.share = in.Number("share", 1, 0, 1);
   f.batch = in.Number("batch", 0.1, 0.001, 1);
@@ -87,19 +87,19 @@
   f.kept = static_cast<KeptAs>(in.Word("kept", "kept", {std::begin(kKeptNames), std::end(kKeptNames)}));
   f.known =
       static_cast<KnownAs>(in.Word("known", "fresh", {std::begin(kKnownNames), std::end(kKnownNames)}));
-  f.age = Seconds(in.Number("age_s", 0, 0, kHour));
+  f.age = Seconds(in.Number("age_s", 0, 0, kHourSeconds));
   f.disk =
       static_cast<DiskMode>(in.Word("disk", "full", {std::begin(kDiskNames), std::end(kDiskNames)}) + 1);
   f.hold = Ms(in.Number("hold_ms", 100, 1, 150));
-  f.step = Seconds(in.Number("step_s", 0, -kHour, kHour));
+  f.step = Seconds(in.Number("step_s", 0, -kHourSeconds, kHourSeconds));
   const bool link =
       f.kind == FaultKind::kLinkCut || f.kind == FaultKind::kLinkSlow || f.kind == FaultKind::kLinkLossy;
   const bool on_nodes = (f.kind <= FaultKind::kReplace && !f.origin) || link ||
                         f.kind == FaultKind::kMachineDrop || f.kind == FaultKind::kCapacityDrop;
   if (f.back_only && f.kind != FaultKind::kLinkCut)
-    in.Complain("way", "goes with kind = \"link_cut\" only");
+    in.Complain("way", "is valid only with kind = \"link_cut\"");
   if (f.kind == FaultKind::kLinkSlow && f.delay + f.jitter <= Duration(0)) {
-    in.Complain("delay_ms", "is missing: by how much answers are delayed");
+    in.Complain("delay_ms", "is missing: the delay of answers is required");
   }
   const bool timed_calls = f.kind == FaultKind::kListSlow || f.kind == FaultKind::kListQueue ||
                            f.kind == FaultKind::kListLate || f.kind == FaultKind::kListPieces ||
@@ -108,24 +108,25 @@
     in.Complain("delay_ms", "is missing: how long discovery takes for a call");
   }
   if (f.kind == FaultKind::kPartition && (f.size < 2 || f.size > 16)) {
-    in.Complain("size", "must name between 2 and 16 groups");
+    in.Complain("size", "must be between 2 and 16 groups");
   }
   const bool on_routers = f.kind == FaultKind::kKill || f.kind == FaultKind::kRestart ||
                           f.kind == FaultKind::kDisk || f.kind == FaultKind::kHeldUp ||
                           f.kind == FaultKind::kCalls || f.kind == FaultKind::kClock ||
                           f.kind == FaultKind::kReload;
   if (f.kind == FaultKind::kClock && f.step == Duration(0)) {
-    in.Complain("step_s", "is missing: by how much the clock is off");
+    in.Complain("step_s", "is missing: the error of the clock is required");
   }
   if ((f.kind == FaultKind::kDisk || f.kept != KeptAs::kKept) && !s.routers.state) {
     in.Complain("kind", "needs [routers] state = true");
   }
   if ((on_nodes || on_routers) && f.part <= 0 && f.count <= 0) {
-    in.Complain("part", "is missing: name a part (a share) or a count of machines");
+    in.Complain("part", "is missing: give a part (a share) or a count of machines");
   }
-  if (f.part > 0 && f.count > 0) in.Complain("count", "contradicts part: name one of them");
-  if (f.origin && f.kind != FaultKind::kSlow) in.Complain("origin", "goes with kind = \"slow\" only");
-  if (f.kind == FaultKind::kHallCut && f.hall < 0) in.Complain("hall", "is missing: which hall is cut off");
+  if (f.part > 0 && f.count > 0) in.Complain("count", "contradicts part: give only one of them");
+  if (f.origin && f.kind != FaultKind::kSlow) in.Complain("origin", "is valid only with kind = \"slow\"");
+  if (f.kind == FaultKind::kHallCut && f.hall < 0)
+    in.Complain("hall", "is missing: the hall to cut off is required");
   if (f.at >= s.length) in.Complain("at_s", "lies behind the end of the run");
   s.faults.push_back(f);
 }
@@ -172,8 +173,8 @@
   r.cross_price = in.Number("cross_price", r.cross_price, 0, 10);
   for (const NodePlan& n : s.nodes) {
     if (n.cold_from < r.cold_from)
-      in.Complain("cold_from", "is more than that of the nodes of kind " + n.kind);
-    if (n.ramp > r.ramp) in.Complain("ramp_ms", "is less than that of the nodes of kind " + n.kind);
+      in.Complain("cold_from", "is greater than cold_from of the nodes of kind " + n.kind);
+    if (n.ramp > r.ramp) in.Complain("ramp_ms", "is less than ramp_ms of the nodes of kind " + n.kind);
   }
 }
 
@@ -183,8 +184,8 @@
   s.name = in.Text("name", "unnamed");
   s.about = in.Text("about", "");
   s.seed = static_cast<std::uint64_t>(in.Whole("seed", 1, 0, 2147483647));
-  s.length = Seconds(in.Number("length_s", 20, 0.5, kHour));
-  s.warm_up = Seconds(in.Number("warm_up_s", 3, 0, kHour));
+  s.length = Seconds(in.Number("length_s", 20, 0.5, kHourSeconds));
+  s.warm_up = Seconds(in.Number("warm_up_s", 3, 0, kHourSeconds));
   if (s.warm_up >= s.length) in.Complain("warm_up_s", "is not less than length_s");
   s.halls = in.Texts("halls", {"hall"});
   if (s.halls.empty() || s.halls.size() > 8) {
@@ -192,7 +193,7 @@
     s.halls = {"hall"};
   }
   in.EachTable("class", [&](TomlReader& t) { ReadClass(t, s); });
-  if (s.classes.empty()) in.Complain("class", "is missing: there must be one [[class]]");
+  if (s.classes.empty()) in.Complain("class", "is missing: at least one [[class]] is required");
   in.EachTable("tenant", [&](TomlReader& t) {
     TenantPlan p;
     p.name = t.Text("name", "tenant" + std::to_string(s.tenants.size()));
@@ -201,7 +202,7 @@
   });
   if (s.tenants.empty()) s.tenants.push_back({"all", 1});
   in.EachTable("nodes", [&](TomlReader& t) { ReadNodes(t, s); });
-  if (s.nodes.empty()) in.Complain("nodes", "is missing: there must be one [[nodes]]");
+  if (s.nodes.empty()) in.Complain("nodes", "is missing: at least one [[nodes]] is required");
   TomlReader origin = in.Table("origin");
   OriginPlan& o = s.origin;
   o.cores = origin.Whole("cores", o.cores, 1, 1024);
@@ -238,14 +239,15 @@
   rules.Finish();
   TomlReader expect = in.Table("expect");
   s.expect.in_time = expect.Number("in_time", 0, 0, 1);
-  s.expect.recovered_s = expect.Number("recovered_s", 0, 0, kHour);
+  s.expect.recovered_s = expect.Number("recovered_s", 0, 0, kHourSeconds);
   expect.Finish();
   in.Finish();
   return s;
 }
 
-// Puts "a.b=value" into the table. Guards against a misspelt change that would measure nothing: the file's
-// own checks see the changed table, so an unknown key is an error there too.
+// Applies a change of the form "a.b=value" to the table. This guards against a misspelt key, with which a
+// study would compare two identical scenarios: the changed table goes through the same checks as a file, so
+// an unknown key is an error.
 void Override(toml::table& table, const std::string& change) {
   const std::size_t equals = change.find('=');
   if (equals == change.npos || equals == 0) {
@@ -263,7 +265,7 @@
     const std::string head = path.substr(0, dot);
     path.erase(0, dot + 1);
     toml::node* next = at->get(head);
-    // The part after an array of tables is the number of one of them.
+    // After the name of an array of tables comes an index into it.
     if (next != nullptr && next->is_array_of_tables()) {
       const std::size_t end = std::min(path.find('.'), path.size());
       const std::size_t n = std::strtoul(path.substr(0, end).c_str(), nullptr, 10);
@@ -278,7 +280,8 @@
   at->insert_or_assign(path, *value.get("value"));
 }
 
-// What `over` says goes before what `under` says; tables are merged, all else is replaced whole.
+// Merges `over` into `under`. Values of `over` take precedence; tables are merged recursively, all other
+// values are replaced as a whole.
 void Merge(toml::table& under, toml::table&& over) {
   for (auto&& [key, node] : over) {
     toml::table* both = under.get(key) == nullptr ? nullptr : under.get(key)->as_table();
@@ -286,14 +289,14 @@
       Merge(*both, std::move(*node.as_table()));
       continue;
     }
-    // Moved, not copied: a copy would forget its line.
+    // Moved, not copied: a copy would lose its line number, which error messages need.
     node.visit([&, name = std::string(key.str())](auto&& value) {
       under.insert_or_assign(name, std::move(value));
     });
   }
 }
 
-constexpr int kMostBases = 4;  // in a row
+constexpr int kMaxBaseDepth = 4;
 
 toml::table Parse(std::string_view text, const std::string& file, int depth) {
   toml::table table;
@@ -307,7 +310,7 @@
   }
   const auto base = table["base"].value<std::string>();
   if (!base) return table;
-  if (depth == kMostBases) throw BadScenario(file + ": base: too many files rest on one another");
+  if (depth == kMaxBaseDepth) throw BadScenario(file + ": base: the chain of base files is too long");
   const std::string path = (std::filesystem::path(file).parent_path() / *base).string();
   std::ifstream in(path);
   if (!in) throw BadScenario(file + ": base: " + path + " cannot be read");
--- a/lab/base/scenario.h
+++ b/lab/base/scenario.h
@@ -1,7 +1,7 @@
-// A scenario: the site, its traffic and what goes wrong, as a TOML file says. docs/LAB.md lists every key.
-// A file may rest on another (`base = "calm.toml"`) and say only what differs.
-// Reading checks all of it at once; a scenario that was read is sound and the rest of the laboratory does
-// not check again.
+// A scenario: the site, its traffic and its faults, read from a TOML file. docs/LAB.md lists every key.
+// A file may extend another one (`base = "calm.toml"`) and give only the differences.
+// Reading validates the whole file, so the rest of the laboratory relies on a valid scenario and does not
+// check again.
 #ifndef BRASSWOOD_LAB_BASE_SCENARIO_H_
 #define BRASSWOOD_LAB_BASE_SCENARIO_H_
 
@@ -17,14 +17,14 @@
 
 namespace brasswood::lab {
 
-// May a request of the class run again once it may have run? Always; only under its key within the window;
-// never.
+// Whether a request of the class may be executed again after it may already have been executed: always,
+// only under its key within the window, or never.
 enum class Repeats { kFree, kKeyed, kNever };
 
 struct ClassPlan {
   std::string name;
-  double share = 1;    // of the arrivals, against the other classes'
-  double work_ms = 5;  // mean, of a core of speed 1
+  double share = 1;    // of the arrivals, relative to the other classes
+  double work_ms = 5;  // mean, on a core of speed 1
   double work_cv = 1;
   Duration aim{0}, give_up{0};
   double worth = 1;
@@ -38,116 +38,116 @@
   double share = 1;
 };
 
-struct NodePlan {  // some cache servers that are alike
+struct NodePlan {  // a group of identical cache servers
   std::string kind;
   int hall = 0;
   int count = 1;
   int cores = 2;
   double speed = 1;
-  int waiting = 200;  // requests, beyond those at work
+  int waiting = 200;  // queue length: requests beyond those in progress
   double memory_mb = 64;
   int connections = 1000;
-  double handshake_ms = 1;  // of a core, for each new connection
-  double cold_from = 0.15;  // of its capacity, at its start
-  Duration ramp{0};         // from then until it is warm
+  double handshake_ms = 1;  // core time for each new connection
+  double cold_from = 0.15;  // share of its capacity right after start
+  Duration ramp{0};         // time from start until it is warm
 };
 
 struct OriginPlan {
   int cores = 4;
-  double work_ms = 40;  // of a fetch; a write takes write_times as much
+  double work_ms = 40;  // of a fetch; a write takes write_times this
   double write_times = 1.5;
   double work_cv = 0.5;
   int waiting = 200;
-  double fall_multiple = 2.5;  // of its capacity; 0: it never falls
-  Duration fall{0};            // for this long
-  Duration down{0};            // and then it stops for this long
+  double fall_multiple = 2.5;  // overload, as a multiple of capacity, at which it fails; 0: never
+  Duration fall{0};            // how long the overload must last
+  Duration down{0};            // how long it is then down
 };
 
 struct DiscoveryPlan {
-  Duration late{0};         // from a change until it is listed
-  double calls = 0;         // a second that it answers, the others with 503; 0: all
-  bool pushed = false;      // to an agent beside each router; the settings say so
-  bool states_size = true;  // capacity_hint is a node's size, and the settings say so; else always 1
+  Duration late{0};         // delay from a change until it is listed
+  double calls = 0;         // calls answered per second, the rest get 503; 0: no limit
+  bool pushed = false;      // lists are pushed to an agent next to each router, and the settings say so
+  bool states_size = true;  // capacity_hint is the server's size, and the settings say so; else always 1
 };
 
 struct RouterPlan {
   int per_hall = 1;
   double memory_mb = 192;
   int sockets = 1024;
-  bool state = false;  // each keeps its state in a folder of its own
+  bool state = false;  // each persists its state in its own folder
   Duration state_every{0};
 };
 
-enum class Pool { kKeep, kDrop, kHoard };  // connections: used again, closed after each answer, left open
+enum class Pool { kKeep, kDrop, kHoard };  // connections: reused, closed after each answer, or left open
 
 struct LoadPlan {
-  double rate = 200;    // arrivals a second, over all halls
+  double rate = 200;    // arrivals per second, over all zones
   bool steady = false;  // evenly spaced; else Poisson
   std::vector<double> hall_share;
   int keys = 5000;
   double zipf = 1.0, zipf_offset = 2;
-  double drift = 0;  // ranks by which popularity moves on each second
+  double drift = 0;  // popularity ranks shifted per second
   double size_bytes = 2000, size_cv = 1;
-  int clients = 20;  // over all halls, each with a pool of its own
-  int sources = 1;   // addresses that they connect from
+  int clients = 20;  // over all zones, each with its own connection pool
+  int sources = 1;   // number of source addresses
   Pool pool = Pool::kKeep;
-  Duration client_idle{0};  // a client closes a connection that has rested this long
+  Duration client_idle{0};  // a client closes a connection after being idle this long
   int retries = 1;
-  Duration backoff{0};   // doubled for each further one, +-50%
-  double honour = 1;     // share of clients that come back no sooner than told
-  double try_share = 1;  // of the give-up time that a try waits
-  Duration notice{0};    // a router that cannot be reached is left out for this long
-  double busy_part = 0;  // share of the routers that get busy_times the others' traffic
+  Duration backoff{0};   // doubled for each further retry, +-50% jitter
+  double honour = 1;     // share of clients that respect the retry-after time
+  double try_share = 1;  // share of the give-up time that one try waits
+  Duration notice{0};    // an unreachable router is not used for this long
+  double busy_part = 0;  // share of the routers that get busy_times the traffic of the others
   double busy_times = 1;
-  Duration late_limit{0};  // sending later than this, at the 99.9th percentile, voids the run
+  Duration late_limit{0};  // the run is void if sends are later than this at the 99.9th percentile
 };
 
 enum class FaultKind {
-  kHang,         // nodes take commands and answer none
-  kSlow,         // nodes, or the origin, work at `size` of their speed
-  kReset,        // `share` of a node's answers is a reset connection instead
-  kRefuse,       // nodes are dead: connections reset, new ones refused
-  kHalf,         // `share` of a node's answers breaks off half-way
-  kGarbage,      // `share` of a node's answers is noise
-  kSilent,       // nodes are cut off: nothing is read, new connections never come up
-  kDrain,        // nodes are listed as terminating, and gone after the fault's length
-  kReplace,      // nodes are replaced one batch after the other by cold successors
-  kKill,         // routers are killed and, after the fault's length, started again
-  kDiscovery,    // discovery is down
-  kOriginStop,   // the origin answers nothing and takes no connection
-  kHotKey,       // `share` of the arrivals goes to `size` keys
-  kBurst,        // arrivals come `size` times as often
-  kHeavy,        // `share` of the requests costs `size` times the work
-  kHallCut,      // all nodes of a hall are cut off from every router
-  kLinkCut,      // some routers and some nodes do not reach each other, or only one way
-  kLinkSlow,     // answers between them take longer
-  kLinkLossy,    // `share` of the answers between them is a reset or silent connection instead
-  kPartition,    // routers and nodes fall into `size` groups that do not reach each other
-  kMachineDrop,  // a machine with its node and the router on it vanishes, and starts again after the length
-  kCapacityDrop,  // a neighbour takes `share` of the nodes' cores
-  kRestart,   // routers are stopped and begin again, in waves or more than once, with their state as said
-  kDisk,      // the disk of routers fails in one way or another
-  kFlood,     // one address holds `size` silent connections at each router
-  kHeldUp,    // routers stand still for `hold` every `every`
-  kCalls,     // `share` of the routers' calls on sockets fail, or do less than was asked
-  kClock,     // the routers' wall clock is off by `step`
-  kNoLength,  // `share` of the origin's answers state no length and end with their connection, some of them
-              // cut
-  kLeave,     // `share` of the clients leave before they have their answer
-  kListSlow,  // discovery takes `delay` for each call, each by itself
-  kListQueue,  // or serves calls in turn, forsaken ones too
-  kListHalf,   // `share` of its answers stop half way, their connections stay open
-  kListReset,  // or are reset half way
-  kListDeaf,   // `share` of the calls are taken and never answered
-  kListBusy,   // or answered 503
-  kListOld,    // or answered with a list older than the one asked from
-  kCrowd,      // `size` idle clients at each router: each asks whether it is ready, rests, and comes back a
-               // second after its connection was closed
-  kReload,     // a new configuration with SIGHUP every `every`, there and back between two addresses of
-               // discovery
-  kListLate,   // discovery takes what it answers at once, and writes it `delay` later
-  kListPieces,  // it writes each answer in even pieces over `delay`
-  kListLag      // the second address of discovery hears of each change `delay` later
+  kHang,        // servers accept commands and answer none
+  kSlow,        // servers, or the origin, work at `size` of their speed
+  kReset,       // `share` of a server's answers is replaced by a connection reset
+  kRefuse,      // servers are down: connections are reset, new ones refused
+  kHalf,        // `share` of a server's answers is cut off half-way
+  kGarbage,     // `share` of a server's answers is random bytes
+  kSilent,      // servers are unreachable: they read nothing, new connections are never established
+  kDrain,       // servers are listed as terminating and removed after the fault's length
+  kReplace,     // servers are replaced, batch by batch, by cold ones
+  kKill,        // routers are killed and, after the fault's length, started again
+  kDiscovery,   // discovery is down
+  kOriginStop,  // the origin answers nothing and accepts no connection
+  kHotKey,      // `share` of the arrivals goes to `size` keys
+  kBurst,       // the arrival rate is multiplied by `size`
+  kHeavy,       // `share` of the requests takes `size` times the work
+  kHallCut,     // all servers of a zone are unreachable from every router
+  kLinkCut,     // some routers and some servers cannot reach each other, in both directions or in one
+  kLinkSlow,    // answers on these links are delayed
+  kLinkLossy,  // `share` of the answers on these links is replaced by a reset or an unresponsive connection
+  kPartition,  // routers and servers are split into `size` groups that cannot reach each other
+  kMachineDrop,   // a machine with its cache server and router disappears and starts again after the length
+  kCapacityDrop,  // another workload uses `share` of the servers' cores
+  kRestart,     // routers are stopped and restarted, in waves or repeatedly, with the state given by `kept`
+  kDisk,        // the routers' disk fails as given by `disk`
+  kFlood,       // one address holds `size` connections open at each router without sending
+  kHeldUp,      // routers are paused for `hold` every `every`
+  kCalls,       // `share` of the routers' socket calls fail or transfer less than requested
+  kClock,       // the routers' wall clock is wrong by `step`
+  kNoLength,    // `share` of the origin's answers have no length and end with the connection; some of them
+                // are truncated
+  kLeave,       // `share` of the clients disconnect before their answer arrives
+  kListSlow,    // discovery takes `delay` for each call, calls in parallel
+  kListQueue,   // discovery serves calls one at a time, including abandoned ones
+  kListHalf,    // `share` of its answers stop half-way while their connections stay open
+  kListReset,   // `share` of its answers are reset half-way
+  kListDeaf,    // `share` of the calls are accepted and never answered
+  kListBusy,    // `share` of the calls are answered with 503
+  kListOld,     // `share` of the calls are answered with a list older than the one the caller has
+  kCrowd,       // `size` idle clients at each router: each checks readiness, stays idle, and reconnects one
+                // second after its connection was closed
+  kReload,      // a new configuration with SIGHUP every `every`, alternating between two addresses of
+                // discovery
+  kListLate,    // discovery builds its answer at once and sends it `delay` later
+  kListPieces,  // discovery sends each answer in equal pieces over `delay`
+  kListLag      // the second address of discovery learns of each change `delay` later
 };
 inline constexpr std::string_view kFaultNames[] = {
     "hang",       "slow",       "reset",        "refuse",        "half",           "garbage",
@@ -158,7 +158,7 @@
     "list_slow",  "list_queue", "list_half",    "list_reset",    "list_deaf",      "list_busy",
     "list_old",   "crowd",      "reload",       "list_late",     "list_pieces",    "list_lag"};
 
-// What a router finds of its kept state when it begins again, and what list it is given.
+// The persisted state that a restarted router finds, and (KnownAs) the server list in its configuration.
 enum class KeptAs { kKept, kNone, kTorn, kNewer, kFuture, kOthers, kOld };
 inline constexpr std::string_view kKeptNames[] = {"kept",   "none",   "torn", "newer",
                                                   "future", "others", "old"};
@@ -169,30 +169,30 @@
 
 struct FaultPlan {
   FaultKind kind = FaultKind::kHang;
-  Duration at{0}, length{0};     // from the start of the load
-  double part = 0;               // share of the nodes (or routers), of `hall` where one is named
-  int count = 0;                 // or how many of them
+  Duration at{0}, length{0};     // relative to the start of the load
+  double part = 0;               // share of the servers (or routers), within `hall` if set
+  int count = 0;                 // or their number
   int hall = -1;                 // -1: any
-  double size = 1, share = 1;    // by kind
-  double batch = 0.1;            // of a replacement: share of the fleet at a time
-  Duration drain{0};             // of a replacement: from its drain to its end
-  bool origin = false;           // kSlow: the origin, not nodes
-  double router_part = 1;        // of faults of links: share of the routers
-  bool back_only = false;        // kLinkCut: commands arrive, answers do not
+  double size = 1, share = 1;    // meaning depends on the kind
+  double batch = 0.1;            // kReplace: share of the fleet replaced at a time
+  Duration drain{0};             // kReplace: time from the drain of a server to its removal
+  bool origin = false;           // kSlow: affects the origin instead of cache servers
+  double router_part = 1;        // link faults: share of the routers
+  bool back_only = false;        // kLinkCut: only answers are lost, commands arrive
   Duration delay{0}, jitter{0};  // kLinkSlow
-  // kRestart: `batch` of the routers at a time over the length, each down for `down`, `size` times in all
-  // with `every` from one to the next.
-  bool term = false;  // SIGTERM rather than -9
+  // kRestart: `batch` of the routers at a time over the length, each down for `down`, `size` times in total
+  // with `every` between the restarts of one router.
+  bool term = false;  // SIGTERM rather than SIGKILL
   Duration down{0}, every{0};
   KeptAs kept = KeptAs::kKept;
   KnownAs known = KnownAs::kFresh;
-  Duration age{0};                  // of an old list, or old kept state
+  Duration age{0};                  // age of an old list or old persisted state
   DiskMode disk = DiskMode::kFull;  // kDisk
   Duration hold{0};                 // kHeldUp
-  Duration step{0};                 // kClock; below 0: it is slow
+  Duration step{0};                 // kClock; negative: the clock is behind
 };
 
-// What the routers are told of the rules, and what the judge holds them to.
+// The rules that the routers are configured with and that the checker verifies.
 struct RulePlan {
   Duration drain_grace{0}, answer_slack{0};
   double cold_from = 0.12;
@@ -204,16 +204,16 @@
   double cross_price = 0.13;
 };
 
-// What must hold of the result, beside the rules, for the scenario to count as passed.
+// Conditions on the result, in addition to the rules, for the scenario to pass.
 struct ExpectPlan {
-  double in_time = 0;      // least share of the first tries answered in time
-  double recovered_s = 0;  // each fault that ends is recovered from within this; 0: not asked
+  double in_time = 0;      // minimum share of the first tries answered in time
+  double recovered_s = 0;  // maximum recovery time after the end of each fault; 0: not checked
 };
 
 struct Scenario {
   std::string name, about;
   std::uint64_t seed = 1;
-  Duration length{0}, warm_up{0};  // the first part of the length is not counted
+  Duration length{0}, warm_up{0};  // the warm-up is part of the length and is not counted
   std::vector<std::string> halls;
   std::vector<NodePlan> nodes;
   OriginPlan origin;
@@ -227,13 +227,13 @@
   ExpectPlan expect;
 };
 
-// what() holds one line for each thing wrong.
+// what() has one line for each error.
 class BadScenario : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// "load.rate=300" for each change that a study makes; the value is written as in TOML.
+// Changes that a study makes to a scenario, such as "load.rate=300"; the value uses TOML syntax.
 using Overrides = std::vector<std::string>;
 
 Scenario ReadScenario(std::string_view text, const std::string& file, const Overrides& overrides = {});
--- a/lab/base/toml_reader.cpp
+++ b/lab/base/toml_reader.cpp
@@ -7,14 +7,14 @@
 namespace brasswood::lab {
 namespace {
 
-std::string Figure(double v) {
+std::string FormatNumber(double v) {
   std::ostringstream out;
   out << v;
   return out.str();
 }
 
-std::string Range(double least, double most) {
-  return "must lie between " + Figure(least) + " and " + Figure(most);
+std::string RangeError(double min, double max) {
+  return "must lie between " + FormatNumber(min) + " and " + FormatNumber(max);
 }
 
 }  // namespace
@@ -41,9 +41,9 @@
 void TomlReader::Complain(std::string_view key, const std::string& what) {
   const toml::node* at = table_ == nullptr ? nullptr : table_->get(key);
   if (at == nullptr) at = table_;
-  // A file may rest on another: the place is the one that the key was read from.
-  const bool elsewhere = at != nullptr && at->source().path != nullptr && !at->source().path->empty();
-  std::string line = (elsewhere ? *at->source().path : problems_.file) + ":";
+  // With `base`, a key may come from another file: report the file and line that it was read from.
+  const bool has_source_path = at != nullptr && at->source().path != nullptr && !at->source().path->empty();
+  std::string line = (has_source_path ? *at->source().path : problems_.file) + ":";
   if (at != nullptr && at->source().begin.line != 0) {
     line += std::to_string(at->source().begin.line) + ":" + std::to_string(at->source().begin.column) + ":";
   }
@@ -55,27 +55,27 @@
   return table_ == nullptr ? nullptr : table_->get(key);
 }
 
-double TomlReader::Number(std::string_view key, double fallback, double least, double most) {
+double TomlReader::Number(std::string_view key, double fallback, double min, double max) {
   const toml::node* at = Find(key);
   if (at == nullptr) return fallback;
   const auto v = at->is_number() ? at->value<double>() : std::nullopt;
   if (!v) {
     Complain(key, "must be a number");
-  } else if (!(*v >= least && *v <= most)) {
-    Complain(key, Range(least, most));
+  } else if (!(*v >= min && *v <= max)) {
+    Complain(key, RangeError(min, max));
   } else {
     return *v;
   }
   return fallback;
 }
 
-int TomlReader::Whole(std::string_view key, int fallback, int least, int most) {
+int TomlReader::Whole(std::string_view key, int fallback, int min, int max) {
   const toml::node* at = Find(key);
   if (at != nullptr && !at->is_integer()) {
     Complain(key, "must be a whole number");
     return fallback;
   }
-  return static_cast<int>(Number(key, fallback, least, most));
+  return static_cast<int>(Number(key, fallback, min, max));
 }
 
 bool TomlReader::Flag(std::string_view key, bool fallback) {
@@ -88,31 +88,31 @@
 std::string TomlReader::Text(std::string_view key, std::string_view fallback) {
   const toml::node* at = Find(key);
   if (at == nullptr) return std::string(fallback);
-  if (!at->is_string()) Complain(key, "must be a text");
+  if (!at->is_string()) Complain(key, "must be a string");
   return at->value<std::string>().value_or(std::string(fallback));
 }
 
 std::size_t TomlReader::Word(std::string_view key, std::string_view fallback,
                              const std::vector<std::string_view>& words) {
-  const std::string said = Text(key, fallback);
-  const auto it = std::find(words.begin(), words.end(), said);
+  const std::string given = Text(key, fallback);
+  const auto it = std::find(words.begin(), words.end(), given);
   if (it != words.end()) return static_cast<std::size_t>(it - words.begin());
   std::string all;
   for (const auto w : words) all += (all.empty() ? "" : ", ") + std::string(w);
-  Complain(key, "is '" + said + "' and must be one of " + all);
+  Complain(key, "is '" + given + "' and must be one of " + all);
   return 0;
 }
 
-std::vector<double> TomlReader::Numbers(std::string_view key, std::vector<double> fallback, double least,
-                                        double most) {
+std::vector<double> TomlReader::Numbers(std::string_view key, std::vector<double> fallback, double min,
+                                        double max) {
   const toml::node* at = Find(key);
   if (at == nullptr) return fallback;
   std::vector<double> out;
   if (const toml::array* array = at->as_array()) {
     for (const toml::node& item : *array) {
       const auto v = item.is_number() ? item.value<double>() : std::nullopt;
-      if (!v || !(*v >= least && *v <= most)) {
-        Complain(key, "each " + Range(least, most));
+      if (!v || !(*v >= min && *v <= max)) {
+        Complain(key, "each " + RangeError(min, max));
         return fallback;
       }
       out.push_back(*v);
@@ -130,14 +130,14 @@
   if (const toml::array* array = at->as_array()) {
     for (const toml::node& item : *array) {
       if (!item.is_string()) {
-        Complain(key, "must be a list of texts");
+        Complain(key, "must be a list of strings");
         return fallback;
       }
       out.push_back(*item.value<std::string>());
     }
     return out;
   }
-  Complain(key, "must be a list of texts");
+  Complain(key, "must be a list of strings");
   return fallback;
 }
 
--- a/lab/base/toml_reader.h
+++ b/lab/base/toml_reader.h
@@ -1,6 +1,5 @@
-// Reading a TOML file against what is known of it: every key has a type, a range and a default, and all
-// that is wrong is told at once, each with its line and column and, for an unknown key, the nearest known
-// one.
+// Reads a TOML file with validation: every key has a type, a range and a default. All errors are reported
+// together, each with its line and column; for an unknown key the closest known key is suggested.
 #ifndef BRASSWOOD_LAB_BASE_TOML_READER_H_
 #define BRASSWOOD_LAB_BASE_TOML_READER_H_
 
@@ -15,41 +14,42 @@
 
 namespace brasswood::lab {
 
-// The problems of one file, in the order found. Shared by all readers of the file.
+// The errors of one file, in the order in which they were found. Shared by all readers of the file.
 struct Problems {
   std::string file;
   std::vector<std::string> lines;  // "file:line:column: key: what is wrong"
 };
 
-// How many single-character edits lie between two words (Levenshtein 1966).
+// The Levenshtein distance between two words: the number of single-character edits (Levenshtein 1966).
 std::size_t EditDistance(std::string_view a, std::string_view b);
 
-// One table of the file. Each Get names a key it knows; Finish complains of the keys that nobody asked for.
+// Reads one table of the file. Each accessor marks its key as known; Finish reports all keys that no
+// accessor has asked for.
 class TomlReader {
  public:
-  // `table` may be null: then every key has its default. It and `problems` must outlive the reader.
+  // If `table` is null, every key has its default. `table` and `problems` must outlive the reader.
   TomlReader(const toml::table* table, std::string path, Problems& problems)
       : table_(table), path_(std::move(path)), problems_(problems) {}
 
-  double Number(std::string_view key, double fallback, double least, double most);
-  int Whole(std::string_view key, int fallback, int least, int most);
+  double Number(std::string_view key, double fallback, double min, double max);
+  int Whole(std::string_view key, int fallback, int min, int max);
   bool Flag(std::string_view key, bool fallback);
   std::string Text(std::string_view key, std::string_view fallback);
-  // One of `words`; the result is its place.
+  // Reads a string that must be one of `words` and returns its index in `words`.
   std::size_t Word(std::string_view key, std::string_view fallback,
                    const std::vector<std::string_view>& words);
-  std::vector<double> Numbers(std::string_view key, std::vector<double> fallback, double least,
-                              double most);
+  std::vector<double> Numbers(std::string_view key, std::vector<double> fallback, double min, double max);
   std::vector<std::string> Texts(std::string_view key, std::vector<std::string> fallback);
 
-  // The table of that key, whose path it then says.
+  // A reader for the table stored under the key; its error messages include the key in their path.
   TomlReader Table(std::string_view key);
-  // Calls `each` for the tables of an array of tables.
+  // Calls `each` for every table of the array of tables stored under the key.
   void EachTable(std::string_view key, const std::function<void(TomlReader&)>& each);
 
   bool Has(std::string_view key) const { return table_ != nullptr && table_->contains(key); }
+  // Reports the unknown keys of the table.
   void Finish();
-  // Something wrong with this key that only its reader can tell.
+  // Reports an error that only the caller can detect, such as a contradiction between two keys.
   void Complain(std::string_view key, const std::string& what);
 
  private:
