--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -1,5 +1,5 @@
-// One run of a scenario: the platform and the load on threads of their own, the routers as processes, and
-// afterwards what really happened.
+// One run of a scenario: the emulated platform and the load generator each on its own thread, the routers
+// as processes. The outcome records what actually happened.
 #ifndef BRASSWOOD_LAB_RUN_EXPERIMENT_H_
 #define BRASSWOOD_LAB_RUN_EXPERIMENT_H_
 
@@ -21,33 +21,36 @@
 
 struct RunOptions {
   std::vector<std::string> router{"build/brasswood"};  // the program and its arguments
-  std::string folder;   // made where it is missing; logs and configurations go there
-  bool direct = false;  // no router: clients speak to the first node themselves
-  const std::atomic<bool>* interrupted = nullptr;  // set: the run ends early, its result is partial
-  std::function<void(Duration, std::uint64_t sent, std::uint64_t served)> progress;  // some times a second
+  std::string folder;                                  // for logs and configurations; created if missing
+  bool direct = false;  // no router: clients connect directly to the first cache server
+  const std::atomic<bool>* interrupted = nullptr;  // true: the run ends early with a partial result
+  std::function<void(Duration, std::uint64_t sent, std::uint64_t served)>
+      progress;  // called several times a second
 };
 
 struct Outcome {
   Truth truth;
   std::vector<Sample> samples;
   std::vector<Breach> breaches;
-  std::vector<std::string> troubles;  // routers that would not start, crashed or would not stop
+  std::vector<std::string> troubles;  // routers that failed to start, crashed or failed to stop
   double ready_s = 0;                 // from the first start until all routers were ready
-  double router_cpu_s = 0;            // of all router processes together
-  bool partial = false;               // it was interrupted
-  // Why the figures mean nothing, where they do: the laboratory itself could not keep up.
+  double router_cpu_s = 0;            // total of all router processes
+  bool partial = false;               // the run was interrupted
+  // The reasons why the figures are invalid (the laboratory itself could not keep up); empty if they are
+  // valid.
   std::vector<std::string> void_because;
 };
 
-// Throws std::runtime_error where the platform cannot be set up at all.
-// What the machine had left while the load ran.
-struct Spare {
-  double idle = 1;      // share of its cores' time
-  double played_s = 0;  // for so long
+// The unused CPU time of the host machine while the load ran.
+struct HostHeadroom {
+  double idle_share = 1;  // of the time of all cores
+  double duration_s = 0;  // length of the measurement
 };
-// Says why the figures mean nothing, if so: load, emulator or machine could not keep up.
-void Weigh(Outcome& outcome, const Spare& spare);
+// Adds to void_because each reason why the figures are invalid: load generator, emulator or host could not
+// keep up.
+void CheckRunValidity(Outcome& outcome, const HostHeadroom& headroom);
 
+// Throws std::runtime_error if the platform cannot be set up at all.
 Outcome RunOnce(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace brasswood::lab
--- a/lab/run/router_process.cpp
+++ b/lab/run/router_process.cpp
@@ -37,9 +37,10 @@
 
 constexpr std::string_view kEffects[] = {"free", "guarded", "single_shot"};
 
-// Bound, never listening, and kept: the port stays this router's for as long as the laboratory runs. Guards
-// against two laboratories side by side whose routers share a port, each taking the other's clients.
-int Reserve(const std::string& host, std::string& address) {
+// Binds a socket to a free port without listening and keeps it open, which reserves the port for this
+// router while the laboratory runs. Guards against two laboratories on one machine whose routers share a
+// port and accept each other's clients.
+int ReservePort(const std::string& host, std::string& address) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in at = *ParseAddress(host + ":0");
   socklen_t size = sizeof at;
@@ -47,32 +48,33 @@
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   if (fd < 0 || ::bind(fd, reinterpret_cast<const sockaddr*>(&at), size) != 0) {
-    throw std::runtime_error("no port for a router: " + std::string(std::strerror(errno)));
+    throw std::runtime_error("cannot reserve a port for a router: " + std::string(std::strerror(errno)));
   }
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
   address = host + ":" + std::to_string(ntohs(at.sin_port));
   return fd;
 }
 
-// A file of that size, zeroed and mapped for sharing with a router's process. The mapping is the caller's.
+// Creates a zeroed file of the given size and maps it, to share it with a router process. The caller unmaps
+// it.
 void* MapShared(const std::string& path, std::size_t size) {
   const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (fd < 0 || ::ftruncate(fd, static_cast<off_t>(size)) != 0)
-    throw std::runtime_error("cannot make " + path);
+    throw std::runtime_error("cannot create " + path);
   void* at = ::mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
   if (at == MAP_FAILED) throw std::runtime_error("cannot map " + path);
   return at;
 }
 
-bool Has(const Scenario& scenario, std::initializer_list<FaultKind> kinds) {
+bool HasFault(const Scenario& scenario, std::initializer_list<FaultKind> kinds) {
   return std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const FaultPlan& f) {
     return std::find(kinds.begin(), kinds.end(), f.kind) != kinds.end();
   });
 }
 
 template <class Plans>
-double Shares(const Plans& plans) {
+double TotalShare(const Plans& plans) {
   return std::accumulate(plans.begin(), plans.end(), 0.0,
                          [](double sum, const auto& p) { return sum + p.share; });
 }
@@ -82,10 +84,10 @@
 RouterProcess::RouterProcess(const Scenario& scenario, int number, std::vector<std::string> command,
                              std::string folder)
     : scenario_(scenario), number_(number), command_(std::move(command)), folder_(std::move(folder)) {
-  reserved_ = Reserve("127.0." + std::to_string(3 + number / 250) + "." + std::to_string(1 + number % 250),
-                      listen_);
+  reserved_ = ReservePort(
+      "127.0." + std::to_string(3 + number / 250) + "." + std::to_string(1 + number % 250), listen_);
   ::unlink(log().c_str());
-  if (Has(scenario, {FaultKind::kCalls, FaultKind::kClock})) {
+  if (HasFault(scenario, {FaultKind::kCalls, FaultKind::kClock})) {
     call_mode_ = static_cast<CallMode*>(MapShared(log() + ".calls", sizeof(CallMode)));
   }
   if (!scenario.routers.state) return;
@@ -99,60 +101,60 @@
   disk_mode_ = static_cast<int*>(MapShared(state_folder() + ".disk", sizeof(int)));
 }
 
-void RouterProcess::SetDisk(DiskMode mode) {
+void RouterProcess::SetDiskMode(DiskMode mode) {
   if (disk_mode_ != nullptr) std::atomic_ref<int>(*disk_mode_).store(static_cast<int>(mode));
 }
 
-void RouterProcess::SetCalls(std::uint32_t per_mille) {
+void RouterProcess::SetCallFailures(std::uint32_t per_mille) {
   if (call_mode_ != nullptr) call_mode_->per_mille = per_mille;
 }
-void RouterProcess::SetClock(Duration off) {
-  if (call_mode_ != nullptr) call_mode_->wall_step_ns = off.count();
+void RouterProcess::SetClockOffset(Duration offset) {
+  if (call_mode_ != nullptr) call_mode_->wall_step_ns = offset.count();
 }
 
-void RouterProcess::KeepAside() {
-  std::error_code none_yet;
+void RouterProcess::SaveStateForLater() {
+  std::error_code ignored;  // there may be no state file yet
   std::filesystem::copy_file(state_file(), state_file() + ".aside",
-                             std::filesystem::copy_options::overwrite_existing, none_yet);
+                             std::filesystem::copy_options::overwrite_existing, ignored);
 }
 
-void RouterProcess::Prepare(KeptAs kept, const std::string& others) {
+void RouterProcess::PrepareState(KeptAs kept, const std::string& other_state_file) {
   if (!scenario_.routers.state || kept == KeptAs::kKept) return;
   std::string why;
   const auto file = ReadWhole(state_file(), kMostSnapshot, why);
-  const auto aside = ReadWhole(state_file() + ".aside", kMostSnapshot, why);
-  const auto foreign = ReadWhole(others, kMostSnapshot, why);
+  const auto saved = ReadWhole(state_file() + ".aside", kMostSnapshot, why);
+  const auto other = ReadWhole(other_state_file, kMostSnapshot, why);
   const std::string text = file.value_or("");
   std::filesystem::remove(state_file() + ".1");
   std::filesystem::remove(state_file());
   Rng rng = MakeRng(Mix(scenario_.seed * 151 + static_cast<std::uint64_t>(number_)), Stream::kFaults);
-  std::string left;
+  std::string content;
   switch (kept) {
     case KeptAs::kKept:
     case KeptAs::kNone:
       return;
     case KeptAs::kTorn:
-      left = text.substr(0, text.empty() ? 0 : rng(static_cast<std::uint32_t>(text.size())));
+      content = text.substr(0, text.empty() ? 0 : rng(static_cast<std::uint32_t>(text.size())));
       break;
     case KeptAs::kNewer:
-      left = text;
-      if (const std::size_t at = left.find(" 1 "); at != left.npos) left.replace(at, 3, " 999 ");
+      content = text;
+      if (const std::size_t at = content.find(" 1 "); at != content.npos) content.replace(at, 3, " 999 ");
       break;
     case KeptAs::kFuture: {
       auto snapshot = DecodeSnapshot(text, why);
       if (!snapshot) return;
       snapshot->taken += std::chrono::hours(1);
-      left = Encode(*snapshot);
+      content = Encode(*snapshot);
       break;
     }
     case KeptAs::kOthers:
-      left = foreign.value_or("");
+      content = other.value_or("");
       break;
     case KeptAs::kOld:
-      left = aside.value_or("");
+      content = saved.value_or("");
       break;
   }
-  std::ofstream(state_file(), std::ios::trunc | std::ios::binary) << left;
+  std::ofstream(state_file(), std::ios::trunc | std::ios::binary) << content;
 }
 
 RouterProcess::~RouterProcess() {
@@ -228,7 +230,7 @@
   w.EndArray();
   w.Key("tenants");
   w.StartArray();
-  const double all = Shares(s.tenants);
+  const double all = TotalShare(s.tenants);
   for (const TenantPlan& t : s.tenants) {
     w.StartObject();
     str("name", t.name);
@@ -285,54 +287,55 @@
   std::vector<char*> argv;
   for (std::string& word : command_) argv.push_back(word.data());
   argv.push_back(nullptr);
-  std::vector<std::string> kept;
+  std::vector<std::string> environment;
   for (char** e = environ; *e != nullptr; ++e) {
-    if (std::strncmp(*e, "PROXY_", 6) != 0) kept.emplace_back(*e);
+    if (std::strncmp(*e, "PROXY_", 6) != 0) environment.emplace_back(*e);
   }
-  kept.push_back("PROXY_CONFIG=" + path);
-  if (scenario_.routers.state) kept.push_back("BRASSWOOD_STATE=" + state_folder() + ".json");
+  environment.push_back("PROXY_CONFIG=" + path);
+  if (scenario_.routers.state) environment.push_back("BRASSWOOD_STATE=" + state_folder() + ".json");
   std::string preload;
-  if (Has(scenario_, {FaultKind::kDisk})) {
+  if (HasFault(scenario_, {FaultKind::kDisk})) {
     preload = BRASSWOOD_LAB_DISK;
-    kept.push_back("BRASSWOOD_LAB_DISK_FOLDER=" + std::filesystem::absolute(state_folder()).string());
-    kept.push_back("BRASSWOOD_LAB_DISK_MODE=" + state_folder() + ".disk");
+    environment.push_back("BRASSWOOD_LAB_DISK_FOLDER=" +
+                          std::filesystem::absolute(state_folder()).string());
+    environment.push_back("BRASSWOOD_LAB_DISK_MODE=" + state_folder() + ".disk");
   }
   if (call_mode_ != nullptr) {
     preload += (preload.empty() ? "" : ":") + std::string(BRASSWOOD_LAB_CALLS);
-    kept.push_back("BRASSWOOD_LAB_CALL_MODE=" + log() + ".calls");
+    environment.push_back("BRASSWOOD_LAB_CALL_MODE=" + log() + ".calls");
     const auto drawn = Mix(scenario_.seed * 157 + static_cast<std::uint64_t>(number_ * 64 + starts_));
-    kept.push_back("BRASSWOOD_LAB_CALL_SEED=" + std::to_string(drawn));
+    environment.push_back("BRASSWOOD_LAB_CALL_SEED=" + std::to_string(drawn));
   }
   if (!preload.empty()) {
-    kept.push_back("LD_PRELOAD=" + preload);
-    // A router built with the address sanitizer wants to be the first library; here it is the second.
+    environment.push_back("LD_PRELOAD=" + preload);
+    // The address sanitizer requires that it is the first library; with a preload it is the second.
     const char* options = std::getenv("ASAN_OPTIONS");
-    kept.push_back("ASAN_OPTIONS=" + (options == nullptr ? "" : std::string(options) + ":") +
-                   "verify_asan_link_order=0");
+    environment.push_back("ASAN_OPTIONS=" + (options == nullptr ? "" : std::string(options) + ":") +
+                          "verify_asan_link_order=0");
   }
   std::vector<char*> env;
-  for (std::string& e : kept) env.push_back(e.data());
+  for (std::string& e : environment) env.push_back(e.data());
   env.push_back(nullptr);
-  posix_spawn_file_actions_t files;
-  posix_spawn_file_actions_init(&files);
-  posix_spawn_file_actions_addopen(&files, 2, log().c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  posix_spawn_file_actions_adddup2(&files, 2, 1);
-  // In a group of its own: an interrupt at the terminal is for the laboratory, which stops its routers
-  // itself.
-  posix_spawnattr_t how;
-  posix_spawnattr_init(&how);
-  posix_spawnattr_setflags(&how, POSIX_SPAWN_SETPGROUP);
-  const int error = ::posix_spawnp(&pid_, argv[0], &files, &how, argv.data(), env.data());
-  posix_spawnattr_destroy(&how);
-  posix_spawn_file_actions_destroy(&files);
+  posix_spawn_file_actions_t file_actions;
+  posix_spawn_file_actions_init(&file_actions);
+  posix_spawn_file_actions_addopen(&file_actions, 2, log().c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  posix_spawn_file_actions_adddup2(&file_actions, 2, 1);
+  // In its own process group: an interrupt at the terminal must reach only the laboratory, which then stops
+  // its routers itself.
+  posix_spawnattr_t attributes;
+  posix_spawnattr_init(&attributes);
+  posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
+  const int error = ::posix_spawnp(&pid_, argv[0], &file_actions, &attributes, argv.data(), env.data());
+  posix_spawnattr_destroy(&attributes);
+  posix_spawn_file_actions_destroy(&file_actions);
   if (error != 0) {
     pid_ = -1;
     throw std::runtime_error("cannot start " + command_[0] + ": " + std::strerror(error));
   }
 }
 
-bool RouterProcess::Ready(Duration patience) const {
-  const auto until = std::chrono::steady_clock::now() + patience;
+bool RouterProcess::Ready(Duration timeout) const {
+  const auto until = std::chrono::steady_clock::now() + timeout;
   while (std::chrono::steady_clock::now() < until) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in at = *ParseAddress(listen_);
@@ -368,15 +371,15 @@
   Reap(0);
 }
 
-void RouterProcess::Freeze() {
+void RouterProcess::Pause() {
   if (pid_ > 0) ::kill(pid_, SIGSTOP);
 }
 
-void RouterProcess::Thaw() {
+void RouterProcess::Resume() {
   if (pid_ > 0) ::kill(pid_, SIGCONT);
 }
 
-// Whole at once: the router may be reading what an earlier one wrote.
+// Replaces the file atomically: the router may be reading the previous one.
 std::string RouterProcess::WriteConfiguration(const std::string& discovery,
                                               const std::string& known) const {
   const std::string path = folder_ + "/router-" + std::to_string(number_) + ".json";
@@ -395,10 +398,10 @@
   if (pid_ > 0) ::kill(pid_, SIGTERM);
 }
 
-std::optional<int> RouterProcess::Ended() { return Reap(WNOHANG); }
+std::optional<int> RouterProcess::PollExitCode() { return Reap(WNOHANG); }
 
-std::optional<int> RouterProcess::Wait(Duration patience) {
-  const auto until = std::chrono::steady_clock::now() + patience;
+std::optional<int> RouterProcess::Wait(Duration timeout) {
+  const auto until = std::chrono::steady_clock::now() + timeout;
   while (pid_ > 0) {
     if (const auto code = Reap(WNOHANG)) return code;
     if (std::chrono::steady_clock::now() >= until) return std::nullopt;
@@ -407,7 +410,7 @@
   return std::nullopt;
 }
 
-std::optional<Usage> RouterProcess::Look() const {
+std::optional<Usage> RouterProcess::SampleUsage() const {
   if (pid_ <= 0) return std::nullopt;
   const std::string proc = "/proc/" + std::to_string(pid_);
   std::ifstream in(proc + "/stat");
@@ -417,7 +420,7 @@
   std::istringstream fields(text.substr(close + 2));
   std::vector<std::string> f;
   for (std::string word; fields >> word;) f.push_back(word);
-  if (f.size() < 22) return std::nullopt;  // from the state, field 3 of proc(5), on
+  if (f.size() < 22) return std::nullopt;  // f starts at field 3 (state) of proc(5)
   Usage u;
   u.cpu_s = (std::stod(f[11]) + std::stod(f[12])) / static_cast<double>(::sysconf(_SC_CLK_TCK)) + cpu_s_;
   u.memory_mb = std::stod(f[21]) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1 << 20);
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -183,7 +183,7 @@
     Outcome planted = outcome;
     planted.void_because.clear();
     planted.truth.world.cpu = cpu;
-    Weigh(planted, {idle, 3.0});
+    CheckRunValidity(planted, {idle, 3.0});
     return std::count_if(planted.void_because.begin(), planted.void_because.end(),
                          [&](const std::string& why) { return why.find(what) != why.npos; });
   };
