--- a/lab/run/soak.cpp
+++ b/lab/run/soak.cpp
@@ -11,43 +11,46 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr double kQuietStart = 1.5;  // seconds before the first fault
-// From SIGTERM to SIGKILL at the least: the longest deadline, counted as 3 s at most, and 0.7 s.
-constexpr double kCountedDeadline = 3, kStopSlack = 0.7;
+constexpr double kFaultFreeStartSeconds = 1.5;  // before the first fault
+// The minimum time from SIGTERM to SIGKILL: the longest deadline, but at most 3 s of it, plus 0.7 s.
+constexpr double kMaxCountedDeadlineSeconds = 3, kStopSlackSeconds = 0.7;
 
-// How long clients wait in this run, in ms, by class.
+// How long clients wait for an answer in this run, in ms, by request class.
 struct Deadlines {
   double read, look, publish, yank;
   double StopSeconds() const {
-    return std::min(kCountedDeadline, std::max({read, look, publish, yank}) / 1000) + kStopSlack;
+    return std::min(kMaxCountedDeadlineSeconds, std::max({read, look, publish, yank}) / 1000) +
+           kStopSlackSeconds;
   }
 };
 
 Deadlines DrawDeadlines(std::uint64_t seed) {
   Rng rng = MakeRng(Mix(seed * 193), Stream::kWork);
   const auto between = [&rng](double low, double high) { return low + (high - low) * Unit(rng); };
-  if (Chance(rng, 0.3)) {  // clients in a hurry: a router has a second to stop
+  if (Chance(rng, 0.3)) {  // impatient clients: a router gets about one second to stop
     return {between(300, 600), between(250, 400), between(300, 700), between(300, 600)};
   }
   return {between(1100, 3300), between(200, 700), between(900, 4500), between(600, 2000)};
 }
 
-// A fault that the soak draws: its kind, for how long, and what else its table says.
-class FaultTable {
+// Writes the [[fault]] tables of a scenario with random times and values.
+class FaultTables {
  public:
-  FaultTable(Rng& rng, double end, double stop_s) : rng_(rng), end_(end), stop_s_(stop_s) {}
+  FaultTables(Rng& rng, double end, double stop_s) : rng_(rng), end_(end), stop_s_(stop_s) {}
 
   double stop_s() const { return stop_s_; }
 
   double Between(double low, double high) { return low + (high - low) * Unit(rng_); }
 
-  void Begin(const char* kind, double least_s, double most_s) {
-    const double length = Between(least_s, most_s);
-    const double at = Between(kQuietStart, std::max(kQuietStart + 0.1, end_ - length));
+  // Starts the table of a fault with a length between the given limits.
+  void Begin(const char* kind, double min_s, double max_s) {
+    const double length = Between(min_s, max_s);
+    const double at =
+        Between(kFaultFreeStartSeconds, std::max(kFaultFreeStartSeconds + 0.1, end_ - length));
     text_ << "[[fault]]\nkind = \"" << kind << "\"\nat_s = " << at << "\nfor_s = " << length << "\n";
   }
   void Set(const char* key, double value) { text_ << key << " = " << value << "\n"; }
-  void Say(const char* key, const char* word) { text_ << key << " = \"" << word << "\"\n"; }
+  void SetWord(const char* key, const char* word) { text_ << key << " = \"" << word << "\"\n"; }
   std::string text() const { return text_.str(); }
 
  private:
@@ -57,148 +60,148 @@
   std::ostringstream text_;
 };
 
-using Draw = void (*)(FaultTable&);
+using DrawFault = void (*)(FaultTables&);
 
-// A share of discovery's calls or answers goes wrong.
-void ListTrouble(FaultTable& f, const char* kind) {
+// Adds a fault that affects a share of discovery's calls or answers.
+void AddListFault(FaultTables& f, const char* kind) {
   f.Begin(kind, 2, 8);
   f.Set("share", f.Between(0.1, 0.5));
 }
 
-// Every kind of trouble that a router has to go through with its rules kept.
-constexpr Draw kDraws[] = {
-    [](FaultTable& f) {
+// The kinds of faults under which routers must still keep every rule.
+constexpr DrawFault kFaultDraws[] = {
+    [](FaultTables& f) {
       f.Begin("restart", 0, 2);
       f.Set("part", f.Between(0.1, 0.5));
-      f.Say("signal", "term");
+      f.SetWord("signal", "term");
       f.Set("down_ms", f.stop_s() * 1000);
       f.Set("batch", f.Between(0.1, 0.5));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("kill_router", 0.3, 2);
       f.Set("part", f.Between(0.05, 0.4));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("held_up", 1, 5);
       f.Set("part", f.Between(0.1, 1));
       f.Set("hold_ms", f.Between(40, 150));
       f.Set("every_ms", f.Between(400, 1500));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("calls", 0.5, 5);
       f.Set("part", f.Between(0.1, 1));
       f.Set("share", f.Between(0.01, 0.3));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("clock", 1, 8);
       f.Set("part", f.Between(0.1, 1));
       f.Set("step_s", f.Between(-3600, 3600));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("no_length", 2, 8);
       f.Set("share", f.Between(0.2, 1));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("leave", 1, 6);
       f.Set("share", f.Between(0.05, 0.5));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("hang", 1, 5);
       f.Set("part", f.Between(0.1, 0.5));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("reset", 1, 4);
       f.Set("part", f.Between(0.1, 0.6));
       f.Set("share", f.Between(0.05, 0.5));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("half", 1, 4);
       f.Set("part", f.Between(0.1, 0.6));
       f.Set("share", f.Between(0.05, 0.4));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("garbage", 1, 4);
       f.Set("part", f.Between(0.1, 0.6));
       f.Set("share", f.Between(0.05, 0.4));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("silent", 0.5, 3);
       f.Set("part", f.Between(0.1, 0.4));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("refuse", 0.5, 3);
       f.Set("part", f.Between(0.1, 0.3));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("drain", 1.5, 4);
       f.Set("part", f.Between(0.1, 0.4));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("replace", 1, 4);
       f.Set("part", f.Between(0.2, 0.6));
       f.Set("batch", f.Between(0.1, 0.4));
     },
-    [](FaultTable& f) { f.Begin("discovery_down", 0.5, 5); },
-    [](FaultTable& f) { f.Begin("origin_stop", 0.3, 2); },
-    [](FaultTable& f) {
+    [](FaultTables& f) { f.Begin("discovery_down", 0.5, 5); },
+    [](FaultTables& f) { f.Begin("origin_stop", 0.3, 2); },
+    [](FaultTables& f) {
       f.Begin("link_lossy", 1, 4);
       f.Set("part", f.Between(0.2, 1));
       f.Set("router_part", f.Between(0.2, 1));
       f.Set("share", f.Between(0.02, 0.2));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("link_cut", 0.5, 3);
       f.Set("part", f.Between(0.1, 0.5));
       f.Set("router_part", f.Between(0.2, 1));
-      f.Say("way", f.Between(0, 1) < 0.5 ? "back" : "both");
+      f.SetWord("way", f.Between(0, 1) < 0.5 ? "back" : "both");
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("burst", 0.5, 2);
       f.Set("size", f.Between(1.5, 3));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("hot_key", 1, 4);
       f.Set("share", f.Between(0.1, 0.5));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("flood", 0.5, 3);
       f.Set("size", f.Between(20, 200));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("list_slow", 2, 8);
       f.Set("delay_ms", f.Between(50, 2200));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("list_queue", 2, 8);
       f.Set("delay_ms", f.Between(2, 60));
     },
-    [](FaultTable& f) { ListTrouble(f, "list_half"); },
-    [](FaultTable& f) { ListTrouble(f, "list_reset"); },
-    [](FaultTable& f) { ListTrouble(f, "list_deaf"); },
-    [](FaultTable& f) { ListTrouble(f, "list_busy"); },
-    [](FaultTable& f) { ListTrouble(f, "list_old"); },
-    [](FaultTable& f) {
+    [](FaultTables& f) { AddListFault(f, "list_half"); },
+    [](FaultTables& f) { AddListFault(f, "list_reset"); },
+    [](FaultTables& f) { AddListFault(f, "list_deaf"); },
+    [](FaultTables& f) { AddListFault(f, "list_busy"); },
+    [](FaultTables& f) { AddListFault(f, "list_old"); },
+    [](FaultTables& f) {
       f.Begin("list_late", 2, 8);
       f.Set("delay_ms", f.Between(50, 2500));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("list_pieces", 2, 8);
       f.Set("delay_ms", f.Between(50, 2500));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("list_lag", 2, 8);
       f.Set("delay_ms", f.Between(200, 3000));
     },
-    [](FaultTable& f) {
+    [](FaultTables& f) {
       f.Begin("reload", 0.5, 4);
       f.Set("part", f.Between(0.1, 1));
       f.Set("every_ms", f.Between(100, 1500));
     },
 };
 
-// Drains while news of them has a hard way; some runs have a crowd of idle clients that fills the
-// descriptors.
-void DrawAlways(FaultTable& f) {
+// Adds the faults that every run has: servers drain while the faults above delay the list updates about
+// them. A quarter of the runs also get a crowd of idle clients that uses up the descriptors.
+void AddCommonFaults(FaultTables& f) {
   f.Begin("drain", 2, 4);
   f.Set("part", f.Between(0.1, 0.4));
   if (f.Between(0, 1) < 0.25) {
@@ -207,10 +210,10 @@
   }
 }
 
-std::string Site(const SoakPlan& plan, std::uint64_t seed, int routers) {
+std::string SiteToml(const SoakPlan& plan, std::uint64_t seed, int routers) {
   Rng rng = MakeRng(Mix(seed * 163), Stream::kNames);
   const Deadlines deadlines = DrawDeadlines(seed);
-  FaultTable draw(rng, 0, 0);
+  FaultTables draw(rng, 0, 0);
   std::ostringstream out;
   out << "name = \"soak-" << seed << "\"\nseed = " << seed << "\nlength_s = " << plan.length_s
       << "\nwarm_up_s = 1\n"
@@ -244,14 +247,14 @@
   Rng rng = MakeRng(Mix(seed * 167), Stream::kFaults);
   const auto span = static_cast<std::uint32_t>(plan.most_routers - plan.least_routers + 1);
   const int routers = plan.least_routers + static_cast<int>(rng(span));
-  std::vector<Draw> draws(std::begin(kDraws), std::end(kDraws));
+  std::vector<DrawFault> draws(std::begin(kFaultDraws), std::end(kFaultDraws));
   std::shuffle(draws.begin(), draws.end(), rng);
   const std::size_t count = 3 + rng(6);
   const double stop_s = DrawDeadlines(seed).StopSeconds();
-  FaultTable faults(rng, plan.length_s - kCountedDeadline - kStopSlack - 1, stop_s);
+  FaultTables faults(rng, plan.length_s - kMaxCountedDeadlineSeconds - kStopSlackSeconds - 1, stop_s);
   for (std::size_t i = 0; i < count; ++i) draws[i](faults);
-  DrawAlways(faults);
-  return Site(plan, seed, routers) + faults.text();
+  AddCommonFaults(faults);
+  return SiteToml(plan, seed, routers) + faults.text();
 }
 
 Exit RunSoak(const SoakPlan& plan, const Study& study, const Side& side, std::ostream& out) {
@@ -267,7 +270,7 @@
     options.folder = folder;
     options.interrupted = study.interrupted;
     Verdict verdict = Verdict::kVoid;
-    for (int go = 0; go < 2 && verdict == Verdict::kVoid; ++go) {
+    for (int attempt = 0; attempt < 2 && verdict == Verdict::kVoid; ++attempt) {
       const Outcome outcome = RunOnce(scenario, options);
       const Figures figures = Measure(outcome);
       verdict = Decide(outcome, figures);
@@ -289,7 +292,7 @@
     if (verdict != Verdict::kFailed) std::filesystem::remove_all(folder);
   }
   out << passed << " passed, " << failed << " failed, " << voided << " void\n";
-  return failed > 0 ? Exit::kFailed : passed > 0 ? Exit::kFine : Exit::kVoid;
+  return failed > 0 ? Exit::kFailed : passed > 0 ? Exit::kSuccess : Exit::kVoid;
 }
 
 }  // namespace brasswood::lab
--- a/lab/run/soak.h
+++ b/lab/run/soak.h
@@ -1,6 +1,6 @@
-// The fault soak: scenarios drawn from a seed, with 10 to 40 routers and faults that overlap in time,
-// judged by the rules and by the routers' own run-time checks. Each is a file that `brasswood-lab run`
-// plays again.
+// The fault soak: random scenarios drawn from a seed, with 10 to 40 routers and overlapping faults. Runs
+// are checked against the rules and by the routers' own run-time checks. Each scenario is saved as a file
+// that `brasswood-lab run` can replay.
 #ifndef BRASSWOOD_LAB_RUN_SOAK_H_
 #define BRASSWOOD_LAB_RUN_SOAK_H_
 
@@ -13,18 +13,18 @@
 namespace brasswood::lab {
 
 struct SoakPlan {
-  std::uint64_t first = 1, last = 1;  // seeds
+  std::uint64_t first = 1, last = 1;  // seeds, inclusive
   int least_routers = 10, most_routers = 40;
-  double length_s = 14;  // of each run, the way out of its faults included
-  double rate = 8;       // requests a second for each router
+  double length_s = 14;  // of each run, including the recovery from its faults
+  double rate = 8;       // requests per second and router
 };
 
-// The scenario of that seed, as TOML. The same seed and plan give the same text.
+// The scenario of a seed, as TOML. The same plan and seed give the same text.
 std::string SoakScenario(const SoakPlan& plan, std::uint64_t seed);
 
-// Plays each seed, a line for each; a failed one keeps its folder (scenario, logs, stories). kFailed where
-// a rule or a run-time check was violated in any; a void run says so, is played once more, and counts for
-// nothing where it is void again.
+// Runs each seed and prints one line for it. The folder of a failed seed is preserved (scenario, logs,
+// stories.txt). Returns kFailed if a rule or a run-time check was violated in any run. A void run is
+// reported and repeated once; if it is void again, it counts neither as passed nor as failed.
 Exit RunSoak(const SoakPlan& plan, const Study& study, const Side& side, std::ostream& out);
 
 }  // namespace brasswood::lab
--- a/lab/run/studies.cpp
+++ b/lab/run/studies.cpp
@@ -17,14 +17,14 @@
 
 bool Interrupted(const Study& study) { return study.interrupted != nullptr && *study.interrupted; }
 
-struct Played {
+struct CompletedRun {
   Outcome outcome;
   Figures figures;
   Verdict verdict = Verdict::kVoid;
 };
 
-Played Play(const Study& study, const Side& side, std::uint64_t seed, const std::string& folder,
-            const Overrides& more = {}) {
+CompletedRun RunSide(const Study& study, const Side& side, std::uint64_t seed, const std::string& folder,
+                     const Overrides& more = {}) {
   Overrides all = study.overrides;
   all.insert(all.end(), side.overrides.begin(), side.overrides.end());
   all.insert(all.end(), more.begin(), more.end());
@@ -34,7 +34,7 @@
   options.router = side.router;
   options.folder = folder;
   options.interrupted = study.interrupted;
-  Played p;
+  CompletedRun p;
   p.outcome = RunOnce(scenario, options);
   p.figures = Measure(p.outcome);
   p.verdict = Decide(p.outcome, p.figures);
@@ -42,9 +42,11 @@
   return p;
 }
 
-bool Sound(const Played& p) { return p.outcome.breaches.empty() && p.outcome.troubles.empty(); }
+bool NoRouterFailures(const CompletedRun& p) {
+  return p.outcome.breaches.empty() && p.outcome.troubles.empty();
+}
 
-void Note(const Study& study, const std::string& text) {
+void PrintProgress(const Study& study, const std::string& text) {
   if (study.progress != nullptr) *study.progress << text << std::endl;
 }
 
@@ -55,26 +57,28 @@
       study.seed != 0 ? study.seed : LoadScenario(study.scenario, study.overrides).seed;
   std::vector<std::vector<double>> as, bs;
   std::vector<Metric> metrics;
-  bool sound = true;
+  bool no_failures = true;
   int left_out = 0;
   for (int pair = 0; pair < study.runs && !Interrupted(study); ++pair) {
     const std::uint64_t seed = first + static_cast<std::uint64_t>(pair);
     bool counted = false;
     for (int attempt = 0; attempt < 2 && !counted && !Interrupted(study); ++attempt) {
       const std::string folder = study.folder + "/pair-" + std::to_string(pair);
-      // Guards against a drift of the machine's speed that would always favour the same side.
-      std::optional<Played> pa, pb;
-      if (pair % 2 == 0) pa = Play(study, a, seed, folder + "-a");
-      pb = Play(study, b, seed, folder + "-b");
-      if (pair % 2 != 0) pa = Play(study, a, seed, folder + "-a");
+      // The order alternates: guards against a drift of the machine's speed that always favours one side.
+      std::optional<CompletedRun> pa, pb;
+      if (pair % 2 == 0) pa = RunSide(study, a, seed, folder + "-a");
+      pb = RunSide(study, b, seed, folder + "-b");
+      if (pair % 2 != 0) pa = RunSide(study, a, seed, folder + "-a");
       for (const auto* p : {&*pa, &*pb}) {
-        if (Sound(*p)) continue;
-        sound = false;
+        if (NoRouterFailures(*p)) continue;
+        no_failures = false;
         out << (p == &*pa ? "A" : "B") << ", seed " << seed << ":\n" << Summary(p->outcome, p->figures);
       }
-      const auto bad = [](const Played& p) { return p.verdict == Verdict::kVoid || p.outcome.partial; };
+      const auto bad = [](const CompletedRun& p) {
+        return p.verdict == Verdict::kVoid || p.outcome.partial;
+      };
       if (bad(*pa) || bad(*pb)) {
-        Note(study, "pair " + std::to_string(pair) + ": void");
+        PrintProgress(study, "pair " + std::to_string(pair) + ": void");
         continue;
       }
       counted = true;
@@ -89,7 +93,7 @@
       std::ostringstream line;
       line << "pair " << pair << " (seed " << seed << "): in time A " << metrics[0].value << ", B "
            << others[0].value;
-      Note(study, line.str());
+      PrintProgress(study, line.str());
     }
     left_out += !counted;
   }
@@ -133,29 +137,29 @@
   w.EndObject();
   w.EndObject();
   std::ofstream(study.folder + "/comparison.json") << text.GetString() << "\n";
-  if (!sound) return Exit::kFailed;
+  if (!no_failures) return Exit::kFailed;
   if (Interrupted(study)) return Exit::kPartial;
-  return pairs == 0 ? Exit::kVoid : Exit::kFine;
+  return pairs == 0 ? Exit::kVoid : Exit::kSuccess;
 }
 
 Exit Sweep(const Study& study, const Side& side, const std::string& parameter,
            const std::vector<std::string>& values, std::ostream& out) {
-  bool sound = true, head = false;
+  bool no_failures = true, head = false;
   for (std::size_t v = 0; v < values.size() && !Interrupted(study); ++v) {
     std::map<std::string, std::vector<double>> by_name;
     std::vector<Metric> metrics;
     int voids = 0;
     for (int run = 0; run < study.runs && !Interrupted(study); ++run) {
       const std::uint64_t seed = study.seed == 0 ? 0 : study.seed + static_cast<std::uint64_t>(run);
-      const Played p = Play(study, side, seed != 0 ? seed : static_cast<std::uint64_t>(run) + 1,
-                            study.folder + "/" + std::to_string(v) + "-" + std::to_string(run),
-                            {parameter + "=" + values[v]});
-      sound &= Sound(p);
+      const CompletedRun p = RunSide(study, side, seed != 0 ? seed : static_cast<std::uint64_t>(run) + 1,
+                                     study.folder + "/" + std::to_string(v) + "-" + std::to_string(run),
+                                     {parameter + "=" + values[v]});
+      no_failures &= NoRouterFailures(p);
       voids += p.verdict == Verdict::kVoid;
       metrics = Metrics(p.figures);
       for (const Metric& m : metrics) by_name[m.name].push_back(m.value);
-      Note(study, parameter + "=" + values[v] + ", run " + std::to_string(run) + ": " +
-                      std::string(Name(p.verdict)));
+      PrintProgress(study, parameter + "=" + values[v] + ", run " + std::to_string(run) + ": " +
+                               std::string(Name(p.verdict)));
     }
     if (!std::exchange(head, true)) {
       out << std::left << std::setw(16) << parameter;
@@ -167,45 +171,45 @@
       out << std::setw(static_cast<int>(m.name.size()) + 2) << Median(by_name[m.name]);
     out << voids << "\n" << std::flush;
   }
-  return !sound ? Exit::kFailed : Interrupted(study) ? Exit::kPartial : Exit::kFine;
+  return !no_failures ? Exit::kFailed : Interrupted(study) ? Exit::kPartial : Exit::kSuccess;
 }
 
-Exit FindCapacity(const Study& study, const Side& side, const Aim& aim, double low, double high, int steps,
-                  std::ostream& out) {
+Exit FindCapacity(const Study& study, const Side& side, const CapacityTarget& target, double low,
+                  double high, int steps, std::ostream& out) {
   double best = 0;
   bool own_limit = false;
   for (int step = 0; step < steps && !Interrupted(study); ++step) {
-    // Rates are compared by their ratio.
+    // The geometric mean, because rates are compared by their ratio.
     const double rate = std::sqrt(low * high);
-    const Played p = Play(study, side, study.seed, study.folder + "/" + std::to_string(step),
-                          {"load.rate=" + std::to_string(rate)});
-    if (!Sound(p)) {
+    const CompletedRun p = RunSide(study, side, study.seed, study.folder + "/" + std::to_string(step),
+                                   {"load.rate=" + std::to_string(rate)});
+    if (!NoRouterFailures(p)) {
       out << Summary(p.outcome, p.figures);
       return Exit::kFailed;
     }
     if (p.outcome.partial) return Exit::kPartial;
-    const bool lab = p.verdict == Verdict::kVoid;
-    const bool holds = !lab && p.figures.all.in_time() >= aim.in_time &&
-                       (aim.p99_ms <= 0 || p.figures.all.latency.p99 <= aim.p99_ms);
-    own_limit = lab || (own_limit && holds);
+    const bool lab_too_slow = p.verdict == Verdict::kVoid;
+    const bool target_met = !lab_too_slow && p.figures.all.in_time() >= target.in_time &&
+                            (target.p99_ms <= 0 || p.figures.all.latency.p99 <= target.p99_ms);
+    own_limit = lab_too_slow || (own_limit && target_met);
     std::ostringstream line;
-    line << std::setprecision(5) << rate << " a second: in time " << p.figures.all.in_time() << ", p99 "
+    line << std::setprecision(5) << rate << " requests/s: in time " << p.figures.all.in_time() << ", p99 "
          << p.figures.all.latency.p99 << " ms: "
-         << (lab     ? "the laboratory cannot keep up"
-             : holds ? "holds"
-                     : "too much");
-    Note(study, line.str());
-    if (holds) best = std::max(best, rate);
-    (holds ? low : high) = rate;
+         << (lab_too_slow ? "the laboratory cannot keep up"
+             : target_met ? "target met"
+                          : "target missed");
+    PrintProgress(study, line.str());
+    if (target_met) best = std::max(best, rate);
+    (target_met ? low : high) = rate;
   }
   out << std::setprecision(4);
   if (best == 0) {
-    out << "the aim does not hold from " << low << " a second on\n";
+    out << "the target is not met from " << low << " requests/s on\n";
     return Exit::kFailed;
   }
-  out << "the aim holds up to " << best << " requests a second (not at " << high << ")"
-      << (own_limit ? "; what ended it was the laboratory, not the router" : "") << "\n";
-  return Exit::kFine;
+  out << "the target is met up to " << best << " requests a second (not at " << high << ")"
+      << (own_limit ? "; the limit is the laboratory's, not the router's" : "") << "\n";
+  return Exit::kSuccess;
 }
 
 Exit FindCeiling(double rate, double seconds, const std::string& folder, std::ostream& out) {
@@ -225,14 +229,14 @@
   const double emulator = static_cast<double>(t.world.cpu.count()) / 1e9;
   const double load = static_cast<double>(t.load.cpu.count()) / 1e9;
   const Figures f = Measure(outcome);
-  out << std::setprecision(4) << "offered " << rate << " a second, " << served << " served, in time "
+  out << std::setprecision(4) << "offered " << rate << " requests/s, " << served << " served, in time "
       << f.all.in_time() << "; schedule at most " << static_cast<double>(t.load.late_max.count()) / 1e6
-      << " ms late\n"
-      << "emulator: " << emulator / served * 1e6 << " us of a core each, " << std::setprecision(6)
-      << served / emulator << " requests a second on one core\n"
-      << "load: " << std::setprecision(4) << load / served * 1e6 << " us of a core each, "
-      << std::setprecision(6) << served / load << " a second on one core\n";
-  return f.all.in_time() > 0.99 ? Exit::kFine : Exit::kVoid;
+      << " ms behind\n"
+      << "emulator: " << emulator / served * 1e6 << " us of a core per request, " << std::setprecision(6)
+      << served / emulator << " requests/s on one core\n"
+      << "load: " << std::setprecision(4) << load / served * 1e6 << " us of a core per request, "
+      << std::setprecision(6) << served / load << " requests/s on one core\n";
+  return f.all.in_time() > 0.99 ? Exit::kSuccess : Exit::kVoid;
 }
 
 }  // namespace brasswood::lab
