--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -69,7 +69,7 @@
   const Figures figures = Measure(outcome);
   WriteAll(study.folder, outcome, figures);
   std::cout << Summary(outcome, figures) << "  report: " << study.folder << "/report.html\n";
-  return ExitOf(Decide(outcome, figures));
+  return ExitOf(DecideVerdict(outcome, figures));
 }
 
 }  // namespace
--- a/lab/report/beliefs.cpp
+++ b/lab/report/beliefs.cpp
@@ -6,13 +6,13 @@
 
 namespace brasswood::lab {
 
-std::vector<std::vector<float>> ReadAvoided(const Truth& t) {
+std::vector<std::vector<float>> ReadAvoidedShares(const Truth& t) {
   const auto seconds = static_cast<std::size_t>(t.scenario.length / std::chrono::seconds(1));
   std::unordered_map<std::string, std::size_t> machines;
   for (std::size_t m = 0; m < t.world.machines.size(); ++m) machines[t.world.machines[m].uid] = m;
   std::vector<std::vector<float>> avoided(t.world.machines.size(), std::vector<float>(seconds));
-  std::vector<float> told(seconds);  // lines of that second, over all routers
-  bool any = false;
+  std::vector<float> reports(seconds);  // log lines of that second, over all routers
+  bool found_report = false;
   const double start = static_cast<double>(t.start.count()) / 1e9;
   for (const std::string& log : t.router_logs) {
     std::ifstream in(log);
@@ -22,8 +22,8 @@
       const double since = std::strtod(line.c_str(), nullptr) - start;
       if (since < 0 || since >= static_cast<double>(seconds)) continue;
       const auto second = static_cast<std::size_t>(since);
-      any = true;
-      told[second] += 1;
+      found_report = true;
+      reports[second] += 1;
       std::istringstream uids(line.substr(at + 14));
       for (std::string uid; uids >> uid;) {
         const auto machine = machines.find(uid);
@@ -31,10 +31,10 @@
       }
     }
   }
-  if (!any) return {};
+  if (!found_report) return {};
   for (auto& row : avoided) {
     for (std::size_t s = 0; s < seconds; ++s) {
-      if (told[s] > 0) row[s] /= told[s];
+      if (reports[s] > 0) row[s] /= reports[s];
     }
   }
   avoided[kOrigin].clear();
--- a/lab/report/beliefs.h
+++ b/lab/report/beliefs.h
@@ -1,5 +1,5 @@
-// What the routers believed of the nodes, from their logs at level debug: for illustration beside the
-// truth, never for a verdict.
+// The routers' view of the cache servers, read from their logs at level debug. Shown next to the observed
+// figures for illustration; never used for a verdict.
 #ifndef BRASSWOOD_LAB_REPORT_BELIEFS_H_
 #define BRASSWOOD_LAB_REPORT_BELIEFS_H_
 
@@ -9,9 +9,9 @@
 
 namespace brasswood::lab {
 
-// By machine and second of the run: the share of the routers that avoided it in that second, of those whose
-// logs tell. Empty where no log does.
-std::vector<std::vector<float>> ReadAvoided(const Truth& truth);
+// For each machine and second of the run: the share of the routers that avoided the machine in that second,
+// of the routers that logged their view. Empty if no log contains it.
+std::vector<std::vector<float>> ReadAvoidedShares(const Truth& truth);
 
 }  // namespace brasswood::lab
 
--- a/lab/report/compare.cpp
+++ b/lab/report/compare.cpp
@@ -12,13 +12,13 @@
 double Median(std::vector<double> v) {
   if (v.empty()) return 0;
   std::sort(v.begin(), v.end());
-  const std::size_t half = v.size() / 2;
-  return v.size() % 2 == 1 ? v[half] : (v[half - 1] + v[half]) / 2;
+  const std::size_t middle = v.size() / 2;
+  return v.size() % 2 == 1 ? v[middle] : (v[middle - 1] + v[middle]) / 2;
 }
 
 Interval MedianInterval(const std::vector<double>& values, std::uint64_t seed) {
-  constexpr double kEnd = std::numeric_limits<double>::infinity();
-  if (values.size() < 5) return {-kEnd, kEnd};
+  constexpr double kInfinity = std::numeric_limits<double>::infinity();
+  if (values.size() < 5) return {-kInfinity, kInfinity};
   constexpr std::size_t kResamples = 4000;
   Rng rng = MakeRng(seed, Stream::kBootstrap);
   std::vector<double> medians(kResamples), sample(values.size());
@@ -54,8 +54,8 @@
 std::string Table(const std::vector<Comparison>& all) {
   std::ostringstream out;
   out << std::setprecision(4);
-  out << std::left << std::setw(36) << "figure" << std::setw(30) << "A: median (least to most)"
-      << std::setw(30) << "B: median (least to most)" << std::setw(32) << "B - A, 95% interval"
+  out << std::left << std::setw(36) << "figure" << std::setw(30) << "A: median (min to max)"
+      << std::setw(30) << "B: median (min to max)" << std::setw(32) << "B - A, 95% interval"
       << "says\n";
   for (const Comparison& c : all) {
     std::ostringstream a, b, d;
--- a/lab/report/figures.cpp
+++ b/lab/report/figures.cpp
@@ -9,12 +9,12 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr double kBin = 0.5;  // seconds
+constexpr double kBinSeconds = 0.5;
 
 double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e9; }
 
 template <class N, class D>
-double Share(N part, D whole) {
+double Ratio(N part, D whole) {
   return whole == D{} ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
@@ -22,7 +22,7 @@
   return {h.count(), h.Percentile(0.5), h.Percentile(0.9), h.Percentile(0.99), h.Percentile(0.999)};
 }
 
-struct Tally {
+struct ClassTally {
   ClassFigures figures;
   LatencyHistogram latency;
   void Add(Ending ending, Duration took) {
@@ -30,27 +30,27 @@
     ++figures.endings[static_cast<std::size_t>(ending)];
     if (ending == Ending::kInTime || ending == Ending::kLate) latency.Add(took);
   }
-  ClassFigures Done() {
+  ClassFigures Finish() {
     figures.latency = Describe(latency);
     return figures;
   }
 };
 
-class Measurer {
+class FigureBuilder {
  public:
-  explicit Measurer(const Outcome& outcome) : outcome_(outcome), t_(outcome.truth), s_(t_.scenario) {}
+  explicit FigureBuilder(const Outcome& outcome) : outcome_(outcome), t_(outcome.truth), s_(t_.scenario) {}
 
-  Figures Take() {
+  Figures Compute() {
     last_.assign(t_.load.intents.size(), nullptr);
     for (const TryRecord& t : t_.load.tries) last_[t.intent] = &t;
     f_.length_s = Seconds(s_.length - s_.warm_up);
-    f_.bins.resize(static_cast<std::size_t>(std::ceil(Seconds(s_.length) / kBin)));
-    for (std::size_t b = 0; b < f_.bins.size(); ++b) f_.bins[b].at_s = static_cast<double>(b) * kBin;
-    TakeIntents();
-    TakeTries();
-    TakeAttempts();
-    TakeRouters();
-    TakeFaults();
+    f_.bins.resize(static_cast<std::size_t>(std::ceil(Seconds(s_.length) / kBinSeconds)));
+    for (std::size_t b = 0; b < f_.bins.size(); ++b) f_.bins[b].at_s = static_cast<double>(b) * kBinSeconds;
+    AddIntents();
+    AddTries();
+    AddAttempts();
+    AddRouters();
+    AddFaults();
     f_.spread = MeasureSpread(t_);
     f_.ready_s = outcome_.ready_s;
     return std::move(f_);
@@ -76,19 +76,19 @@
     }
   }
 
-  bool Counts(Time at) const { return at >= t_.start + s_.warm_up; }
+  bool IsCounted(Time at) const { return at >= t_.start + s_.warm_up; }
 
   Bin* BinOf(Time at) {
-    const double n = Seconds(at - t_.start) / kBin;
+    const double n = Seconds(at - t_.start) / kBinSeconds;
     return n < 0 || n >= static_cast<double>(f_.bins.size()) ? nullptr
                                                              : &f_.bins[static_cast<std::size_t>(n)];
   }
 
-  void TakeIntents() {
-    Tally all;
-    std::vector<Tally> classes(s_.classes.size()), tenants(s_.tenants.size()), halls(s_.halls.size());
+  void AddIntents() {
+    ClassTally all;
+    std::vector<ClassTally> classes(s_.classes.size()), tenants(s_.tenants.size()), halls(s_.halls.size());
     std::vector<LatencyHistogram> latencies(f_.bins.size());
-    double worth = 0, got = 0;
+    double worth = 0, worth_in_time = 0;
     for (std::size_t n = 0; n < t_.load.intents.size(); ++n) {
       const Intent& intent = t_.load.intents[n];
       if (outcome_.partial && !intent.done) continue;
@@ -99,17 +99,17 @@
         ++bin->endings[static_cast<std::size_t>(ending)];
         if (intent.served) latencies[static_cast<std::size_t>(bin - f_.bins.data())].Add(took);
       }
-      if (!Counts(intent.at)) continue;
+      if (!IsCounted(intent.at)) continue;
       all.Add(ending, took);
       classes[intent.request_class].Add(ending, took);
       tenants[intent.tenant].Add(ending, took);
       halls[intent.hall].Add(ending, took);
       worth += s_.classes[intent.request_class].worth;
-      if (ending == Ending::kInTime) got += s_.classes[intent.request_class].worth;
+      if (ending == Ending::kInTime) worth_in_time += s_.classes[intent.request_class].worth;
     }
-    const auto fill = [](std::vector<Tally>& from, const auto& names, std::vector<ClassFigures>& to) {
+    const auto fill = [](std::vector<ClassTally>& from, const auto& names, std::vector<ClassFigures>& to) {
       for (std::size_t i = 0; i < from.size(); ++i) {
-        to.push_back(from[i].Done());
+        to.push_back(from[i].Finish());
         if constexpr (requires { names[i].name; }) {
           to.back().name = names[i].name;
         } else {
@@ -117,45 +117,45 @@
         }
       }
     };
-    f_.all = all.Done();
+    f_.all = all.Finish();
     f_.all.name = "all";
     f_.asked = f_.all.asked;
     fill(classes, s_.classes, f_.classes);
     fill(tenants, s_.tenants, f_.tenants);
     fill(halls, s_.halls, f_.halls);
-    f_.worth_in_time = Share(got, worth);
+    f_.worth_in_time = Ratio(worth_in_time, worth);
     for (std::size_t b = 0; b < f_.bins.size(); ++b) f_.bins[b].latency = Describe(latencies[b]);
   }
 
-  void TakeTries() {
-    std::uint64_t tries = 0, pooled = 0, crossed = 0;
+  void AddTries() {
+    std::uint64_t tries = 0, pooled = 0, closed_idle = 0;
     for (const TryRecord& t : t_.load.tries) {
       if (Bin* bin = t.sent == Time(0) ? nullptr : BinOf(t.sent)) ++bin->tries;
-      if (!Counts(t.sent)) continue;
+      if (!IsCounted(t.sent)) continue;
       tries += !t.resent;
       pooled += t.pooled && !t.resent;
-      crossed += t.resent;
+      closed_idle += t.resent;
     }
-    f_.tries_per_request = Share(tries, f_.asked);
-    f_.reused_share = Share(pooled, tries);
-    f_.crossed_share = Share(crossed, tries);
-    f_.connections_per_request = Share(t_.load.connections, t_.load.intents.size());
+    f_.tries_per_request = Ratio(tries, f_.asked);
+    f_.reused_share = Ratio(pooled, tries);
+    f_.closed_idle_share = Ratio(closed_idle, tries);
+    f_.connections_per_request = Ratio(t_.load.connections, t_.load.intents.size());
   }
 
-  void TakeAttempts() {
+  void AddAttempts() {
     std::vector<double> work(t_.world.machines.size());
-    std::uint64_t attempts = 0, at_nodes = 0, hits = 0, fetches = 0, crossing = 0;
+    std::uint64_t attempts = 0, at_servers = 0, hits = 0, fetches = 0, cross_zone = 0;
     std::vector<NodeFigures> all(t_.world.machines.size());
     for (const AttemptRecord& c : t_.world.attempts) {
       const auto m = static_cast<std::size_t>(c.machine);
       if (Bin* bin = BinOf(c.whole)) {
         ++bin->attempts;
         if (c.machine == kOrigin) {
-          bin->origin_load += c.work_s / (t_.world.machines[0].capacity.full * kBin);
+          bin->origin_load += c.work_s / (t_.world.machines[0].capacity.full * kBinSeconds);
           bin->fetches += !c.write;
         }
       }
-      if (!Counts(c.whole)) continue;
+      if (!IsCounted(c.whole)) continue;
       ++attempts;
       work[m] += c.work_s;
       NodeFigures& n = all[m];
@@ -167,9 +167,9 @@
         fetches += !c.write;
         continue;
       }
-      ++at_nodes;
+      ++at_servers;
       hits += c.fate == Fate::kHit;
-      crossing += t_.world.machines[m].hall != c.router / s_.routers.per_hall;
+      cross_zone += t_.world.machines[m].hall != c.router / s_.routers.per_hall;
     }
     for (std::size_t m = 0; m < all.size(); ++m) {
       const MachineRecord& record = t_.world.machines[m];
@@ -181,10 +181,10 @@
       all[m].load = until > from ? work[m] / (record.capacity.full * Seconds(until - from)) : 0;
     }
     f_.nodes = std::move(all);
-    f_.attempts_per_request = Share(attempts, f_.asked);
-    f_.fetches_per_request = Share(fetches, f_.asked);
-    f_.hit_share = Share(hits, at_nodes);
-    f_.crossing_share = Share(crossing, at_nodes);
+    f_.attempts_per_request = Ratio(attempts, f_.asked);
+    f_.fetches_per_request = Ratio(fetches, f_.asked);
+    f_.hit_share = Ratio(hits, at_servers);
+    f_.cross_zone_share = Ratio(cross_zone, at_servers);
     f_.origin_falls = t_.world.origin_fell.size();
     for (std::size_t b = 0; b + 1 < f_.bins.size(); ++b) {
       if (f_.bins[b].at_s < Seconds(s_.warm_up)) continue;
@@ -192,7 +192,7 @@
     }
   }
 
-  void TakeRouters() {
+  void AddRouters() {
     f_.routers.resize(t_.router_logs.size());
     for (const Sample& sample : outcome_.samples) {
       RouterFigures& r = f_.routers[static_cast<std::size_t>(sample.router)];
@@ -200,10 +200,10 @@
       r.memory_mb = std::max(r.memory_mb, sample.usage.memory_mb);
       r.descriptors = std::max(r.descriptors, sample.usage.descriptors);
     }
-    f_.cpu_us_per_request = Share(outcome_.router_cpu_s * 1e6, t_.load.intents.size());
+    f_.cpu_us_per_request = Ratio(outcome_.router_cpu_s * 1e6, t_.load.intents.size());
   }
 
-  // Share in time of the sends between two times, in seconds from the start.
+  // The share in time of the requests sent between two times, in seconds from the start.
   double InTime(double from, double until, double& asked) const {
     double in_time = 0;
     asked = 0;
@@ -215,23 +215,23 @@
     return asked == 0 ? 1 : in_time / asked;
   }
 
-  void TakeFaults() {
+  void AddFaults() {
     for (const FaultPlan& plan : s_.faults) {
       FaultFigures f;
       f.kind = kFaultNames[static_cast<std::size_t>(plan.kind)];
       f.from_s = Seconds(plan.at);
       f.until_s = std::min(Seconds(s_.length), Seconds(EndOf(plan)));
-      // What a later fault does is not this one's.
+      // The effects of a later fault are not attributed to this one.
       double end = Seconds(s_.length);
       for (const FaultPlan& other : s_.faults) {
         if (other.at >= EndOf(plan) && &other != &plan) end = std::min(end, Seconds(other.at));
       }
-      const double first = std::floor(f.from_s / kBin) * kBin;
+      const double first = std::floor(f.from_s / kBinSeconds) * kBinSeconds;
       double asked = 0;
       f.before = InTime(Seconds(s_.warm_up), first, asked);
       f.lowest = 1;
       double worst = first;
-      for (double at = first; at + 1 <= end + 1e-9; at += kBin) {
+      for (double at = first; at + 1 <= end + 1e-9; at += kBinSeconds) {
         const double share = InTime(at, at + 1, asked);
         if (asked > 0 && share < f.lowest) {
           f.lowest = share;
@@ -239,27 +239,28 @@
         }
       }
       f.recovered_s = f.recovered_after_s = -1;
-      double back = end;
+      double recovered_at = end;
       if (f.lowest >= f.before - 0.01) {
         f.recovered_s = 0;
-        back = first;
+        recovered_at = first;
       }
-      for (double at = worst; f.recovered_s < 0 && at + 2 <= end + 1e-9; at += kBin) {
+      for (double at = worst; f.recovered_s < 0 && at + 2 <= end + 1e-9; at += kBinSeconds) {
         if (InTime(at, at + 2, asked) < f.before - 0.01) continue;
         f.recovered_s = std::max(0.0, at - f.from_s);
-        back = at;
+        recovered_at = at;
       }
       if (f.recovered_s >= 0) f.recovered_after_s = std::max(0.0, f.from_s + f.recovered_s - f.until_s);
-      const double share = InTime(first, back, asked);
+      const double share = InTime(first, recovered_at, asked);
       f.lost = std::max(0.0, (f.before - share) * asked);
-      double before = 0, after = 0;
-      const double look = std::max(back, f.until_s);
+      double fetches_before = 0, fetches_after = 0;
+      const double after_end = std::max(recovered_at, f.until_s);
       for (const Bin& bin : f_.bins) {
-        if (bin.at_s >= Seconds(s_.warm_up) && bin.at_s < first) before += static_cast<double>(bin.fetches);
-        if (bin.at_s >= first && bin.at_s < look) after += static_cast<double>(bin.fetches);
+        if (bin.at_s >= Seconds(s_.warm_up) && bin.at_s < first)
+          fetches_before += static_cast<double>(bin.fetches);
+        if (bin.at_s >= first && bin.at_s < after_end) fetches_after += static_cast<double>(bin.fetches);
       }
-      const double quiet = first - Seconds(s_.warm_up);
-      if (quiet > 0) f.extra_fetches = after - before / quiet * (look - first);
+      const double before_s = first - Seconds(s_.warm_up);
+      if (before_s > 0) f.extra_fetches = fetches_after - fetches_before / before_s * (after_end - first);
       f.service = MeasureService(t_, static_cast<std::size_t>(&plan - s_.faults.data()));
       f_.faults.push_back(f);
     }
@@ -274,7 +275,7 @@
 
 }  // namespace
 
-Figures Measure(const Outcome& outcome) { return Measurer(outcome).Take(); }
+Figures Measure(const Outcome& outcome) { return FigureBuilder(outcome).Compute(); }
 
 std::vector<Metric> Metrics(const Figures& f) {
   double recovered = 0, lost = 0, extra = 0;
@@ -293,9 +294,9 @@
       {"attempts per request", "", false, f.attempts_per_request},
       {"fetches per request", "", false, f.fetches_per_request},
       {"hit share", "share", true, f.hit_share},
-      {"crossing share", "share", false, f.crossing_share},
+      {"crossing share", "share", false, f.cross_zone_share},
       {"connections per request", "", false, f.connections_per_request},
-      {"closed at rest", "share", false, f.crossed_share},
+      {"closed at rest", "share", false, f.closed_idle_share},
       {"origin peak", "of capacity", false, f.origin_peak},
       {"router CPU per request", "us", false, f.cpu_us_per_request},
       {"busiest node", "of the mean", false, f.spread.busiest},
@@ -309,12 +310,12 @@
     all.push_back({"time to recover", "s", false, recovered});
     all.push_back({"lost to faults", "requests", false, lost});
     all.push_back({"extra fetches", "", false, extra});
-    // Of the first fault: those of one trouble share the figure.
+    // Taken from the first fault: overlapping faults share these figures.
     const ServiceFigures& service = f.faults[0].service;
-    const auto back = [&](double s) { return s < 0 ? f.length_s : s; };
-    all.push_back({"full service", "s", false, back(service.full)});
-    for (std::size_t i = 0; i < kServiceParts; ++i) {
-      all.push_back({"back: " + std::string(kServiceNames[i]), "s", false, back(service.back[i])});
+    const auto or_run_length = [&](double s) { return s < 0 ? f.length_s : s; };
+    all.push_back({"full service", "s", false, or_run_length(service.full)});
+    for (std::size_t i = 0; i < kServiceNameCount; ++i) {
+      all.push_back({"back: " + std::string(kServiceNames[i]), "s", false, or_run_length(service.back[i])});
     }
     all.push_back({"slowest router", "s", false, service.slowest_router});
     all.push_back({"list calls", "a second", false, service.lists_per_s});
--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -1,4 +1,5 @@
-// report.html: self-contained, its plots drawn as SVG here, so that it opens anywhere and needs no script.
+// Writes report.html. The page is self-contained: the plots are SVG generated here, so it opens in any
+// browser and needs no script.
 #include <algorithm>
 #include <cmath>
 #include <iomanip>
@@ -33,7 +34,7 @@
   return out;
 }
 
-std::string Short(double v) {
+std::string FormatShort(double v) {
   std::ostringstream out;
   if (v != 0 && (std::abs(v) < 0.01 || std::abs(v) >= 1e5)) {
     out << std::setprecision(2) << v;
@@ -43,7 +44,7 @@
   return out.str();
 }
 
-// Colours that differ also in lightness (Okabe and Ito 2008).
+// The colour-blind safe palette of Okabe and Ito (2008); its colours also differ in lightness.
 constexpr const char* kColours[] = {"#0072b2", "#d55e00", "#009e73", "#cc79a7",
                                     "#e69f00", "#56b4e9", "#000000", "#999999"};
 
@@ -55,9 +56,9 @@
 struct Plot {
   std::string title, unit;
   std::vector<Line> lines;
-  bool log = false;      // the upright axis
-  double least_top = 0;  // the axis reaches at least this high
-  double fixed_top = 0;  // or exactly this
+  bool log = false;      // logarithmic vertical axis
+  double least_top = 0;  // minimum for the top of the vertical axis
+  double fixed_top = 0;  // exact top of the vertical axis, if not 0
 };
 
 class Drawing {
@@ -108,7 +109,7 @@
     }
     high = std::max(high, plot_.least_top);
     if (high <= 0) high = 1;
-    // Four steps, each of a round length.
+    // Four grid steps of a round size.
     double step = std::pow(10, std::floor(std::log10(high / 4)));
     for (const double times : {1.0, 2.0, 2.5, 5.0, 10.0}) {
       if (4 * step * times < high) continue;
@@ -129,11 +130,11 @@
       const double from = X(x.from_s), width = std::max(2.0, X(x.until_s) - from);
       out_ << "<rect x='" << Num(from) << "' y='" << kTop << "' width='" << Num(width) << "' height='"
            << kHeight << "' fill='#f2c14e' opacity='.28'/>";
-      // Names stand above the plot, in as many rows as they need; near the right edge they end at the band.
-      const bool late = from > kRight - 120;
-      out_ << "<text class='fault' x='" << Num(late ? from + width : from + 2) << "' y='"
-           << 8 + 10 * (row++ % 2) << "'" << (late ? " text-anchor='end'" : "") << ">" << Escape(x.kind)
-           << "</text>";
+      // The labels alternate between two rows above the plot; near the right edge they are right-aligned.
+      const bool near_right_edge = from > kRight - 120;
+      out_ << "<text class='fault' x='" << Num(near_right_edge ? from + width : from + 2) << "' y='"
+           << 8 + 10 * (row++ % 2) << "'" << (near_right_edge ? " text-anchor='end'" : "") << ">"
+           << Escape(x.kind) << "</text>";
     }
   }
   void Axes() {
@@ -142,7 +143,7 @@
       const double y = Y(v);
       out_ << "<line x1='" << kLeft << "' x2='" << kRight << "' y1='" << Num(y) << "' y2='" << Num(y)
            << "' class='grid'/><text x='" << kLeft - 6 << "' y='" << Num(y + 4) << "' text-anchor='end'>"
-           << Short(v) << "</text>";
+           << FormatShort(v) << "</text>";
     }
     const double step = length_ <= 12 ? 1 : length_ <= 30 ? 5 : length_ <= 120 ? 10 : 60;
     for (double s = 0; s <= length_ + 1e-9; s += step) {
@@ -150,7 +151,7 @@
            << "</text>";
     }
     out_ << "<text x='" << (kLeft + kRight) / 2 << "' y='" << kTop + kHeight + 24 + 8
-         << "' text-anchor='middle'>seconds since the load began</text>";
+         << "' text-anchor='middle'>seconds since the start of the load</text>";
   }
 
   const Plot& plot_;
@@ -166,29 +167,31 @@
   return line;
 }
 
-// A column a second, a row a node (those without figures left out); darker is more, `past` more than all.
+// One column per second and one row per machine (machines without figures are left out). Darker means more;
+// values above 1 use the colour `over_colour`.
 std::string HeatMap(const std::vector<std::vector<float>>& figures, const std::string& title,
-                    const std::string& about, const char* colour, const char* past) {
-  constexpr double kWide = 784, kRow = 9;
+                    const std::string& about, const char* colour, const char* over_colour) {
+  constexpr double kWidth = 784, kRowHeight = 9;
   std::ostringstream out;
   std::size_t rows = 0, seconds = 0;
   for (const auto& row : figures) seconds = std::max(seconds, row.size());
   if (seconds == 0) return {};
-  const double wide = kWide / static_cast<double>(seconds);
+  const double column_width = kWidth / static_cast<double>(seconds);
   for (const auto& row : figures) {
     if (row.empty()) continue;
     for (std::size_t second = 0; second < seconds; ++second) {
       const double v = row[second];
       if (v <= 0) continue;
-      out << "<rect x='" << 64 + wide * static_cast<double>(second) << "' y='"
-          << 4 + kRow * static_cast<double>(rows) << "' width='" << wide << "' height='" << kRow
-          << "' fill='" << (v > 1 ? past : colour) << "' opacity='" << std::min(1.0, v) << "'/>";
+      out << "<rect x='" << 64 + column_width * static_cast<double>(second) << "' y='"
+          << 4 + kRowHeight * static_cast<double>(rows) << "' width='" << column_width << "' height='"
+          << kRowHeight << "' fill='" << (v > 1 ? over_colour : colour) << "' opacity='" << std::min(1.0, v)
+          << "'/>";
     }
     ++rows;
   }
   std::ostringstream all;
   all << "<figure><figcaption>" << title << " <small>(" << about
-      << ")</small></figcaption><svg viewBox='0 0 860 " << 12 + kRow * static_cast<double>(rows)
+      << ")</small></figcaption><svg viewBox='0 0 860 " << 12 + kRowHeight * static_cast<double>(rows)
       << "' role='img'>" << out.str() << "</svg></figure>";
   return all.str();
 }
@@ -208,9 +211,9 @@
     };
     out << "<tr><td>" << Escape(n.uid) << (n.cold_start ? " (cold start)" : "") << "</td><td>"
         << Escape(n.hall) << "</td><td class='n'>" << n.attempts << "</td><td class='n'>"
-        << Short(std::round(n.load * 1000) / 1000) << "</td>";
+        << FormatShort(std::round(n.load * 1000) / 1000) << "</td>";
     bar(n.load / most, kColours[0]);
-    out << "<td class='n'>" << (reads == 0 ? "-" : Short(std::round(hits * 1000) / 1000)) << "</td>";
+    out << "<td class='n'>" << (reads == 0 ? "-" : FormatShort(std::round(hits * 1000) / 1000)) << "</td>";
     bar(hits, kColours[2]);
     out << "<td class='n'>" << n.turned_away << "</td></tr>";
   }
@@ -229,26 +232,26 @@
   };
   plots.push_back({"Answered in time", "share of first tries", {Over(f, "in time", share)}, false, 0, 1});
   plots.push_back({"Latency from the intended send",
-                   "ms, of those served, logarithmic",
+                   "ms, served requests, logarithmic",
                    {Over(f, "50th percentile", [](const Bin& b) { return b.latency.p50; }),
                     Over(f, "90th", [](const Bin& b) { return b.latency.p90; }),
                     Over(f, "99th", [](const Bin& b) { return b.latency.p99; })},
                    true});
-  Plot endings{"How requests ended", "a second", {}};
-  for (std::size_t e = 0; e < kEndings; ++e) {
+  Plot endings{"How requests ended", "per second", {}};
+  for (std::size_t e = 0; e < kEndingCount; ++e) {
     endings.lines.push_back(Over(f, std::string(kEndingNames[e]),
                                  [e](const Bin& b) { return static_cast<double>(b.endings[e]) * 2; }));
   }
   plots.push_back(std::move(endings));
   plots.push_back(
       {"Load on the origin",
-       "work sent, of its capacity",
+       "work sent, share of capacity",
        {Over(f, "load", [](const Bin& b) { return b.origin_load; }), {"capacity", {{0, 1}, {length, 1}}}},
        false,
        1.2});
   plots.push_back(
       {"Attempts",
-       "a second",
+       "per second",
        {Over(f, "clients' tries", [](const Bin& b) { return static_cast<double>(b.tries) * 2; }),
         Over(f, "attempts at machines", [](const Bin& b) { return static_cast<double>(b.attempts) * 2; }),
         Over(f, "fetches", [](const Bin& b) { return static_cast<double>(b.fetches) * 2; })}});
@@ -289,18 +292,19 @@
          "failed,"
          ".void{color:#b3400b}"
          "</style><h1>"
-      << Escape(s.name) << ": <span class='" << Name(Decide(outcome, f)) << "'>" << Name(Decide(outcome, f))
-      << "</span></h1><p>" << Escape(s.about) << "</p><pre>" << Escape(Summary(outcome, f)) << "</pre>";
+      << Escape(s.name) << ": <span class='" << VerdictName(DecideVerdict(outcome, f)) << "'>"
+      << VerdictName(DecideVerdict(outcome, f)) << "</span></h1><p>" << Escape(s.about) << "</p><pre>"
+      << Escape(Summary(outcome, f)) << "</pre>";
   for (const Plot& plot : plots) out << Drawing(plot, f, length).Draw();
-  out << HeatMap(f.spread.use, "Use of the nodes",
-                 "a row each, second by second; darker is fuller, red is more than it can do", kColours[0],
-                 "#b3400b")
-      << HeatMap(ReadAvoided(outcome.truth), "Avoided by routers",
-                 "the same rows; darker: by more of the routers, as their debug logs say", kColours[7],
-                 kColours[7])
+  out << HeatMap(f.spread.use, "Utilisation of cache servers",
+                 "one row per server, one column per second; darker is higher, red is above its capacity",
+                 kColours[0], "#b3400b")
+      << HeatMap(ReadAvoidedShares(outcome.truth), "Avoided by routers",
+                 "the same rows; darker: avoided by more routers, according to their debug logs",
+                 kColours[7], kColours[7])
       << NodeTable(f);
   if (!outcome.breaches.empty()) {
-    out << "<h2>Broken rules</h2><pre>";
+    out << "<h2>Violated rules</h2><pre>";
     for (std::size_t i = 0; i < outcome.breaches.size() && i < 20; ++i) {
       out << Escape(Story(outcome.truth, outcome.breaches[i])) << "\n";
     }
--- a/lab/report/service.cpp
+++ b/lab/report/service.cpp
@@ -12,15 +12,17 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr double kStep = 0.5;  // seconds of a bin
-constexpr double kStays = 5, kStaysLeast = 2;
-constexpr double kInTime = 0.02, kHits = 0.05, kOriginTimes = 1.25, kOriginMore = 0.1, kSpread = 1.3,
-                 kOpen = 0.8;
-constexpr double kLeastConnections = 5;  // of the mean node, below which a ratio says nothing
+constexpr double kBinSeconds = 0.5;
+constexpr double kStableSeconds = 5, kMinStableSeconds = 2;
+constexpr double kInTimeTolerance = 0.02, kHitTolerance = 0.05;
+constexpr double kOriginLoadFactor = 1.25, kOriginLoadMargin = 0.1, kSpreadFactor = 1.3;
+constexpr double kMinOpenShare = 0.8;
+// The smallest mean of new connections per server for which the ratio to the mean is meaningful.
+constexpr double kMinMeanConnections = 5;
 
 double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e9; }
 
-struct Series {  // by bin: parts of wholes
+struct Series {  // a ratio over time: numerator and denominator for each bin
   std::vector<double> part, whole;
   explicit Series(std::size_t bins) : part(bins), whole(bins) {}
   void Add(std::size_t bin, double p, double w) {
@@ -28,7 +30,7 @@
     part[bin] += p;
     whole[bin] += w;
   }
-  // Over bins [from, to); `none` where there is nothing.
+  // The ratio over the bins [from, to); `none` if there is no data.
   double Share(std::size_t from, std::size_t to, double none) const {
     double p = 0, w = 0;
     for (std::size_t b = from; b < std::min(to, part.size()); ++b) p += part[b], w += whole[b];
@@ -36,75 +38,78 @@
   }
 };
 
-class Measurer {
+class ServiceMeasurement {
  public:
-  Measurer(const Truth& t, std::size_t fault) : t_(t), s_(t.scenario), f_(s_.faults[fault]) {
-    begin_ = Seconds(f_.at);
-    end_ = Seconds(EndOf(f_));
-    // Faults that overlap are one trouble; the next one ends the look.
+  ServiceMeasurement(const Truth& t, std::size_t fault) : t_(t), s_(t.scenario), f_(s_.faults[fault]) {
+    fault_start_ = Seconds(f_.at);
+    fault_end_ = Seconds(EndOf(f_));
+    // Overlapping faults are evaluated as one; the next fault ends the evaluation period.
     for (const FaultPlan& o : s_.faults) {
       if (o.at <= EndOf(f_) && EndOf(o) >= f_.at) {
-        begin_ = std::min(begin_, Seconds(o.at));
-        end_ = std::max(end_, Seconds(EndOf(o)));
+        fault_start_ = std::min(fault_start_, Seconds(o.at));
+        fault_end_ = std::max(fault_end_, Seconds(EndOf(o)));
       }
     }
-    last_ = Seconds(s_.length);
+    period_end_ = Seconds(s_.length);
     for (const FaultPlan& o : s_.faults) {
-      if (Seconds(o.at) > end_) last_ = std::min(last_, Seconds(o.at));
+      if (Seconds(o.at) > fault_end_) period_end_ = std::min(period_end_, Seconds(o.at));
     }
-    bins_ = static_cast<std::size_t>(Seconds(s_.length) / kStep);
+    bins_ = static_cast<std::size_t>(Seconds(s_.length) / kBinSeconds);
   }
 
-  ServiceFigures Take() {
+  ServiceFigures Compute() {
     ServiceFigures out;
-    const std::size_t warm = Bin(Seconds(s_.warm_up)), first = Bin(begin_);
+    const std::size_t warm = Bin(Seconds(s_.warm_up)), first = Bin(fault_start_);
     const Series in_time = InTime(), hits = Hits(), origin = Origin();
     const double timely = in_time.Share(warm, first, 1), hit = hits.Share(warm, first, 0);
     const double load = origin.Share(warm, first, 0);
-    out.back[0] = Back(2, [&](std::size_t b) { return in_time.Share(b, b + 2, 1) >= timely - kInTime; });
-    out.back[1] = Back(4, [&](std::size_t b) { return hits.Share(b, b + 4, 1) >= hit - kHits; });
-    out.back[2] = Back(2, [&](std::size_t b) {
-      return origin.Share(b, b + 2, 0) <= std::max(load * kOriginTimes, load + kOriginMore);
+    out.back[0] = RecoveryTime(
+        2, [&](std::size_t b) { return in_time.Share(b, b + 2, 1) >= timely - kInTimeTolerance; });
+    out.back[1] =
+        RecoveryTime(4, [&](std::size_t b) { return hits.Share(b, b + 4, 1) >= hit - kHitTolerance; });
+    out.back[2] = RecoveryTime(2, [&](std::size_t b) {
+      return origin.Share(b, b + 2, 0) <= std::max(load * kOriginLoadFactor, load + kOriginLoadMargin);
     });
     const std::vector<std::vector<double>> work = Work();
-    double spread = 0, looks = 0;
-    for (std::size_t b = warm; b + 4 <= first; b += 4) spread += Busiest(work, b), ++looks;
-    spread = looks == 0 ? 1 : spread / looks;
-    out.back[3] = Back(4, [&](std::size_t b) { return Busiest(work, b) <= spread * kSpread; });
-    out.back[4] = Lists();
-    const std::vector<double> open = Open();
+    double spread = 0, windows = 0;
+    for (std::size_t b = warm; b + 4 <= first; b += 4) spread += Busiest(work, b), ++windows;
+    spread = windows == 0 ? 1 : spread / windows;
+    out.back[3] =
+        RecoveryTime(4, [&](std::size_t b) { return Busiest(work, b) <= spread * kSpreadFactor; });
+    out.back[4] = ListRecoveryTime();
+    const std::vector<double> open = OpenConnections();
     double before = 0;
     for (std::size_t b = warm; b < first; ++b)
       before += open[b] / static_cast<double>(std::max<std::size_t>(1, first - warm));
-    out.back[5] = Back(1, [&](std::size_t b) { return open[b] >= kOpen * before; });
+    out.back[5] = RecoveryTime(1, [&](std::size_t b) { return open[b] >= kMinOpenShare * before; });
     out.full = *std::max_element(out.back.begin(), out.back.end());
     if (*std::min_element(out.back.begin(), out.back.end()) < 0) out.full = -1;
-    Slowest(out);
-    Peaks(out);
+    FindSlowestRouter(out);
+    FindPeaks(out);
     return out;
   }
 
  private:
   std::size_t Bin(double s) const {
-    return static_cast<std::size_t>(std::max(0.0, std::ceil(s / kStep - 1e-9)));
+    return static_cast<std::size_t>(std::max(0.0, std::ceil(s / kBinSeconds - 1e-9)));
   }
   std::size_t BinOf(Time at) const {
-    return at < t_.start ? bins_ : static_cast<std::size_t>(Seconds(at - t_.start) / kStep);
+    return at < t_.start ? bins_ : static_cast<std::size_t>(Seconds(at - t_.start) / kBinSeconds);
   }
 
-  // Seconds from the end until `good` holds, of windows so many bins wide, and goes on to hold.
-  double Back(std::size_t wide, const std::function<bool(std::size_t)>& good) const {
-    const std::size_t last = std::min(bins_, static_cast<std::size_t>(last_ / kStep));
-    const std::size_t from = Bin(end_);
+  // Seconds from the fault's end until `good` is true, and stays true, for windows of `window_bins` bins.
+  double RecoveryTime(std::size_t window_bins, const std::function<bool(std::size_t)>& good) const {
+    const std::size_t last = std::min(bins_, static_cast<std::size_t>(period_end_ / kBinSeconds));
+    const std::size_t from = Bin(fault_end_);
     std::size_t since = from;
-    for (std::size_t b = from; b + wide <= last; ++b) {
+    for (std::size_t b = from; b + window_bins <= last; ++b) {
       if (!good(b)) since = b + 1;
-      const double held = static_cast<double>(b + wide - since) * kStep;
-      if (since <= b && held >= kStays) break;
+      const double stable_s = static_cast<double>(b + window_bins - since) * kBinSeconds;
+      if (since <= b && stable_s >= kStableSeconds) break;
     }
-    const double at = static_cast<double>(since) * kStep;
-    if (last_ - at < kStaysLeast) return -1;
-    return std::max(0.0, at - end_);
+    const double at = static_cast<double>(since) * kBinSeconds;
+    if (period_end_ - at < kMinStableSeconds) return -1;
+    return std::max(0.0, at - fault_end_);
   }
 
   Series InTime() const {
@@ -125,13 +130,14 @@
   }
   Series Origin() const {
     Series s(bins_);
-    for (std::size_t b = 0; b < bins_; ++b) s.whole[b] = t_.world.machines[kOrigin].capacity.full * kStep;
+    for (std::size_t b = 0; b < bins_; ++b)
+      s.whole[b] = t_.world.machines[kOrigin].capacity.full * kBinSeconds;
     for (const AttemptRecord& c : t_.world.attempts) {
       if (c.machine == kOrigin) s.Add(BinOf(c.whole), c.work_s, 0);
     }
     return s;
   }
-  // By machine and bin, of what it can do warm.
+  // Work by machine and bin, relative to the machine's warm capacity.
   std::vector<std::vector<double>> Work() const {
     std::vector<std::vector<double>> work(t_.world.machines.size(), std::vector<double>(bins_));
     for (const AttemptRecord& c : t_.world.attempts) {
@@ -142,10 +148,11 @@
     }
     return work;
   }
-  // Over two seconds from that bin: the busiest node that was there and warm all the time, of the mean.
+  // Utilisation of the busiest server relative to the mean, over the two seconds from `bin`. Only servers
+  // that were running and warm for the whole period count.
   double Busiest(const std::vector<std::vector<double>>& work, std::size_t bin) const {
     const Time from =
-        t_.start + Duration(static_cast<std::int64_t>(static_cast<double>(bin) * kStep * 1e9));
+        t_.start + Duration(static_cast<std::int64_t>(static_cast<double>(bin) * kBinSeconds * 1e9));
     const Time to = from + std::chrono::seconds(2);
     double most = 0, sum = 0, weight = 0;
     for (std::size_t m = 1; m < work.size(); ++m) {
@@ -161,28 +168,28 @@
     return sum == 0 ? 1 : most / (sum / weight);
   }
 
-  bool Away(const Absence& a) const {
+  bool WasDown(const Absence& a) const {
     const double from = Seconds(a.from - t_.start);
-    return from >= begin_ - 0.5 && from <= end_ + 0.5;
+    return from >= fault_start_ - 0.5 && from <= fault_end_ + 0.5;
   }
-  // When the last of the routers that were away had its list, from the end.
-  double Lists() const {
+  // Seconds from the fault's end until the last of the restarted routers received its list.
+  double ListRecoveryTime() const {
     double latest = 0;
-    std::map<int, Time> launched;  // the last time
+    std::map<int, Time> launched;  // the latest start
     for (const Absence& a : t_.absences) {
-      if (Away(a)) launched[a.router] = std::max(launched[a.router], a.launched);
+      if (WasDown(a)) launched[a.router] = std::max(launched[a.router], a.launched);
     }
     for (const auto& [router, at] : launched) {
-      const auto told = std::find_if(t_.world.lists.begin(), t_.world.lists.end(),
-                                     [&, r = router, from = at](const ListRecord& l) {
-                                       return l.router == r && l.at >= from && !l.refused;
-                                     });
-      if (at == Time(0) || told == t_.world.lists.end()) return -1;
-      latest = std::max(latest, Seconds(told->at - t_.start) - end_);
+      const auto received = std::find_if(t_.world.lists.begin(), t_.world.lists.end(),
+                                         [&, r = router, from = at](const ListRecord& l) {
+                                           return l.router == r && l.at >= from && !l.refused;
+                                         });
+      if (at == Time(0) || received == t_.world.lists.end()) return -1;
+      latest = std::max(latest, Seconds(received->at - t_.start) - fault_end_);
     }
     return latest;
   }
-  std::vector<double> Open() const {
+  std::vector<double> OpenConnections() const {
     std::vector<double> open(bins_);
     double now = 0;
     std::size_t b = 0;
@@ -195,9 +202,9 @@
     return open;
   }
 
-  void Slowest(ServiceFigures& out) const {
+  void FindSlowestRouter(ServiceFigures& out) const {
     for (const Absence& a : t_.absences) {
-      if (!Away(a) || a.launched == Time(0)) continue;
+      if (!WasDown(a) || a.launched == Time(0)) continue;
       Time asked = Time::max(), first = Time::max();
       for (const TryRecord& r : t_.load.tries) {
         if (r.router != a.router || r.sent < a.launched) continue;
@@ -206,51 +213,51 @@
         if (!served || r.ended - r.sent > s_.classes[t_.load.intents[r.intent].request_class].aim) continue;
         first = std::min(first, r.ended);
       }
-      if (first == Time::max()) continue;  // nobody asked it, or it was stopped again
+      if (first == Time::max()) continue;  // it got no request, or it was stopped again
       out.slowest_router = std::max(out.slowest_router, Seconds(first - asked));
     }
   }
 
-  void Peaks(ServiceFigures& out) const {
+  void FindPeaks(ServiceFigures& out) const {
     const auto ms = [&](Time at) { return (at - t_.start) / std::chrono::milliseconds(1); };
-    const auto low = static_cast<std::int64_t>(begin_ * 1000);
-    const auto high = static_cast<std::int64_t>(std::min(last_, end_ + 10) * 1000);
-    const auto counts = [&](std::int64_t at) { return at >= low && at < high; };
-    std::map<std::int64_t, double> lists, again;  // by quarter of a second
+    const auto low = static_cast<std::int64_t>(fault_start_ * 1000);
+    const auto high = static_cast<std::int64_t>(std::min(period_end_, fault_end_ + 10) * 1000);
+    const auto in_period = [&](std::int64_t at) { return at >= low && at < high; };
+    std::map<std::int64_t, double> lists, again;  // counts per 250 ms
     for (const ListRecord& l : t_.world.lists) {
-      if (counts(ms(l.at))) lists[ms(l.at) / 250] += 1;
+      if (in_period(ms(l.at))) lists[ms(l.at) / 250] += 1;
     }
     std::map<std::int64_t, std::map<int, int>> up;
     for (const LinkRecord& l : t_.world.links) {
-      if (l.up && counts(ms(l.at))) ++up[ms(l.at) / 250][l.machine];
+      if (l.up && in_period(ms(l.at))) ++up[ms(l.at) / 250][l.machine];
     }
-    std::size_t nodes = 0;
+    std::size_t servers = 0;
     for (std::size_t m = 1; m < t_.world.machines.size(); ++m)
-      nodes += t_.world.machines[m].gone == Time(0);
-    for (const auto& [quarter, by_node] : up) {
+      servers += t_.world.machines[m].gone == Time(0);
+    for (const auto& [quarter, by_server] : up) {
       double all = 0, most = 0;
-      for (const auto& [machine, n] : by_node) all += n, most = std::max<double>(most, n);
-      const double mean = all / static_cast<double>(std::max<std::size_t>(1, nodes));
-      if (mean >= kLeastConnections) out.connections = std::max(out.connections, most / mean);
+      for (const auto& [machine, n] : by_server) all += n, most = std::max<double>(most, n);
+      const double mean = all / static_cast<double>(std::max<std::size_t>(1, servers));
+      if (mean >= kMinMeanConnections) out.connections = std::max(out.connections, most / mean);
     }
     std::unordered_map<RequestId, int> attempts;
-    std::vector<std::pair<Time, int>> out_there;
+    std::vector<std::pair<Time, int>> changes;
     for (const AttemptRecord& c : t_.world.attempts) {
       const bool fetch = c.machine == kOrigin && !c.write;
-      if (c.machine != kOrigin && attempts[c.request]++ > 0 && counts(ms(c.whole)))
+      if (c.machine != kOrigin && attempts[c.request]++ > 0 && in_period(ms(c.whole)))
         again[ms(c.whole) / 250] += 1;
-      if (fetch && counts(ms(c.whole))) {
-        out_there.emplace_back(c.whole, 1);
-        if (c.end != Time(0)) out_there.emplace_back(c.end, -1);
+      if (fetch && in_period(ms(c.whole))) {
+        changes.emplace_back(c.whole, 1);
+        if (c.end != Time(0)) changes.emplace_back(c.end, -1);
       }
     }
-    std::sort(out_there.begin(), out_there.end());
+    std::sort(changes.begin(), changes.end());
     std::int64_t now = 0;
-    for (const auto& [at, change] : out_there) {
+    for (const auto& [at, change] : changes) {
       now += change;
       out.fetches_out = std::max(out.fetches_out, static_cast<std::size_t>(std::max<std::int64_t>(0, now)));
     }
-    const auto in_a_second = [](const std::map<std::int64_t, double>& quarters) {
+    const auto max_per_second = [](const std::map<std::int64_t, double>& quarters) {
       double most = 0;
       for (const auto& [quarter, n] : quarters) {
         double sum = 0;
@@ -260,21 +267,21 @@
       }
       return most;
     };
-    out.lists_per_s = in_a_second(lists);
-    out.again_per_s = in_a_second(again);
+    out.lists_per_s = max_per_second(lists);
+    out.again_per_s = max_per_second(again);
   }
 
   const Truth& t_;
   const Scenario& s_;
   const FaultPlan& f_;
-  double begin_ = 0, end_ = 0, last_ = 0;
+  double fault_start_ = 0, fault_end_ = 0, period_end_ = 0;
   std::size_t bins_ = 0;
 };
 
 }  // namespace
 
 ServiceFigures MeasureService(const Truth& truth, std::size_t fault) {
-  return Measurer(truth, fault).Take();
+  return ServiceMeasurement(truth, fault).Compute();
 }
 
 }  // namespace brasswood::lab
--- a/lab/report/service.h
+++ b/lab/report/service.h
@@ -1,14 +1,17 @@
-// Time to full service, from the truth of a run: how long after a fault's end each of six things is back
-// within a band of what it was before the fault, and stays there.
+// Time to full service, computed from the truth of a run: the time from a fault's end until each of six
+// figures is back within a tolerance of its value before the fault, and stays there.
 //
-//   in time      share of the first tries answered in time, over a second: at most 0.02 below
-//   hits         share of the reads at nodes that hit, over two seconds: at most 0.05 below
-//   origin       its load over a second: at most a quarter, or 0.1 of its capacity, above
-//   spread       the busiest node's use against the mean, over two seconds: at most 1.3 times what it was
-//   list         every router that was away has had discovery's list since it was started
-//   connections  those open from routers to nodes: at least 0.8 of what they were
+//   in time      share of the first tries answered in time, over one second: at most 0.02 lower
+//   hits         hit share of the reads at cache servers, over two seconds: at most 0.05 lower
+//   origin       its load over one second: at most a quarter, or 0.1 of its capacity, higher
+//   spread       utilisation of the busiest server relative to the mean, over two seconds: at most 1.3
+//   times
+//                its value before
+//   list         every router that was down has received discovery's list since its restart
+//   connections  open connections from routers to cache servers: at least 0.8 of the number before
 //
-// "Stays" is 5 s, or up to the run's end or the next fault where that comes sooner, 2 s at least.
+// "Stays" means for 5 s, or until the end of the run or the next fault if that is earlier, but at least 2
+// s.
 #ifndef BRASSWOOD_LAB_REPORT_SERVICE_H_
 #define BRASSWOOD_LAB_REPORT_SERVICE_H_
 
@@ -21,22 +24,23 @@
 
 inline constexpr std::string_view kServiceNames[] = {"in time", "hits", "origin",
                                                      "spread",  "list", "connections"};
-constexpr std::size_t kServiceParts = 6;
+constexpr std::size_t kServiceNameCount = 6;
 
 struct ServiceFigures {
-  std::array<double, kServiceParts> back{};  // seconds from the fault's end; below 0: not before the end
-  double full = 0;                           // the latest of them; below 0: not before the end
+  std::array<double, kServiceNameCount>
+      back{};       // seconds from the fault's end; negative: not before the end of the run
+  double full = 0;  // the maximum of `back`; negative: not before the end of the run
   double slowest_router =
-      0;  // of those that were away: from the first that it is asked to its first answer in time
-  // The peaks from the fault's start to ten seconds after its end.
-  double lists_per_s = 0;  // calls for lists, answered or refused, in any second
-  double connections =
-      0;  // the busiest node's new connections in any 250 ms, of the mean node's (of 5 or more)
-  std::size_t fetches_out = 0;  // reads at the origin at one time
-  double again_per_s = 0;       // second and further attempts, in any second
+      0;  // max over restarted routers: from the first request sent to it until its first answer in time
+  // Maxima in the period from the fault's start to ten seconds after its end.
+  double lists_per_s = 0;       // calls to discovery, answered or refused, in any second
+  double connections = 0;       // new connections of the busiest server in any 250 ms, relative to the mean
+                                // (only if the mean is 5 or more)
+  std::size_t fetches_out = 0;  // concurrent reads at the origin
+  double again_per_s = 0;       // second and later attempts of requests, in any second
 };
 
-// Of the scenario's fault of that number.
+// Computes the figures for one of the scenario's faults, given by its index.
 ServiceFigures MeasureService(const Truth& truth, std::size_t fault);
 
 }  // namespace brasswood::lab
--- a/lab/report/spread.cpp
+++ b/lab/report/spread.cpp
@@ -6,9 +6,9 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr int kTenths = 10;  // of a second
-constexpr double kIdle = 0.05, kBusy = 0.8;
-constexpr double kLeastExpected = 0.2;  // fewer attempts than this say nothing of a herd
+constexpr int kTenthsPerSecond = 10;
+constexpr double kIdle = 0.05, kBusy = 0.8;  // utilisation
+constexpr double kMinExpected = 0.2;         // with fewer expected attempts the ratio is not meaningful
 
 }  // namespace
 
@@ -18,8 +18,8 @@
   const auto seconds = static_cast<std::size_t>(s.length / std::chrono::seconds(1));
   const auto first = static_cast<std::size_t>(s.warm_up / std::chrono::seconds(1));
   const std::size_t machines = t.world.machines.size();
-  std::vector<std::vector<float>> count(machines, std::vector<float>(seconds * kTenths));
-  std::vector<float> asked(seconds * kTenths);
+  std::vector<std::vector<float>> count(machines, std::vector<float>(seconds * kTenthsPerSecond));
+  std::vector<float> asked(seconds * kTenthsPerSecond);
   for (const Intent& i : t.load.intents) {
     const auto tenth = static_cast<std::size_t>((i.at - t.start) / std::chrono::milliseconds(100));
     if (i.at >= t.start && tenth < asked.size()) ++asked[tenth];
@@ -30,13 +30,14 @@
   for (const AttemptRecord& c : t.world.attempts) {
     if (c.machine == kOrigin || c.whole < t.start) continue;
     const auto tenth = static_cast<std::size_t>((c.whole - t.start) / std::chrono::milliseconds(100));
-    if (tenth >= seconds * kTenths) continue;
+    if (tenth >= seconds * kTenthsPerSecond) continue;
     const auto m = static_cast<std::size_t>(c.machine);
-    f.use[m][tenth / kTenths] += c.work_s / static_cast<float>(t.world.machines[m].capacity.full);
+    f.use[m][tenth / kTenthsPerSecond] += c.work_s / static_cast<float>(t.world.machines[m].capacity.full);
     ++count[m][tenth];
-    if (tenth / kTenths >= first) work[m] += c.work_s;
+    if (tenth / kTenthsPerSecond >= first) work[m] += c.work_s;
   }
-  // Of the nodes that were there for the whole counted run: one that came or went has a use of its own.
+  // Only servers that were running for the whole counted run: for others the mean utilisation is not
+  // comparable.
   const Time from = t.start + s.warm_up, until = t.start + s.length;
   double total = 0, squares = 0, capacity = 0;
   std::vector<double> uses;
@@ -66,14 +67,15 @@
       if (r.capacity.started > at || (r.gone != Time(0) && r.gone < at)) continue;
       busy |= f.use[m][second] > kBusy;
       idle += f.use[m][second] < kIdle;
-      double mine = 0, everyone = 0;
-      for (std::size_t i = second * kTenths; i < (second + 1) * kTenths; ++i) {
-        mine += count[m][i];
-        everyone += asked[i];
+      double server_attempts = 0, all_requests = 0;
+      for (std::size_t i = second * kTenthsPerSecond; i < (second + 1) * kTenthsPerSecond; ++i) {
+        server_attempts += count[m][i];
+        all_requests += asked[i];
       }
-      for (std::size_t i = second * kTenths; everyone > 0 && i < (second + 1) * kTenths; ++i) {
-        const double expected = mine / everyone * asked[i];
-        if (expected >= kLeastExpected) excess.push_back((count[m][i] - expected) / std::sqrt(expected));
+      for (std::size_t i = second * kTenthsPerSecond;
+           all_requests > 0 && i < (second + 1) * kTenthsPerSecond; ++i) {
+        const double expected = server_attempts / all_requests * asked[i];
+        if (expected >= kMinExpected) excess.push_back((count[m][i] - expected) / std::sqrt(expected));
       }
     }
     if (busy) f.idle_s += idle;
--- a/lab/report/spread.h
+++ b/lab/report/spread.h
@@ -1,5 +1,6 @@
-// How evenly the cache servers were used, from the truth of a run: each node's use over time (work that it
-// was sent, of what it can do warm), and how much of its unevenness the arrivals alone do not explain.
+// How evenly the cache servers were used, computed from the truth of a run: the utilisation of each server
+// over time (work sent to it, relative to its warm capacity), and how much of the unevenness is not
+// explained by the arrivals alone.
 #ifndef BRASSWOOD_LAB_REPORT_SPREAD_H_
 #define BRASSWOOD_LAB_REPORT_SPREAD_H_
 
@@ -10,15 +11,18 @@
 namespace brasswood::lab {
 
 struct SpreadFigures {
-  double busiest = 0, idlest = 0;  // a node's use over the counted run, over the mean (by capacity) of all
-  double variation = 0;            // coefficient of variation of use, nodes weighted by capacity
-  double jain = 1;                 // Jain's index of use, weighted by capacity: 1 is even
-  double idle_s = 0;  // seconds, summed over nodes, in which one stood below 0.05 and another above 0.8
-  // The 99.9th percentile over nodes and tenths of a second of (attempts - expected) / sqrt(expected),
-  // where the node's attempts of that second are expected to come as the clients' own requests do:
-  // about 3.5 where chance alone rules, far more where routers send in step.
+  double busiest = 0,
+         idlest = 0;     // utilisation over the counted run, relative to the capacity-weighted mean
+  double variation = 0;  // coefficient of variation of utilisation, weighted by capacity
+  double jain = 1;       // Jain's fairness index of utilisation, weighted by capacity; 1 is even
+  double idle_s = 0;     // server-seconds with utilisation below 0.05 while another server is above 0.8
+  // Detects routers that send in lockstep. The 99.9th percentile, over servers and tenths of a second, of
+  // (attempts - expected) / sqrt(expected), where the attempts at a server within a second are expected to
+  // follow the distribution of the clients' requests. About 3.5 for random arrivals, much higher for
+  // lockstep.
   double herd = 0;
-  std::vector<std::vector<float>> use;  // by machine (the origin's is empty) and second of the run
+  std::vector<std::vector<float>>
+      use;  // utilisation by machine (empty for the origin) and second of the run
 };
 
 SpreadFigures MeasureSpread(const Truth& truth);
--- a/lab/report/write.cpp
+++ b/lab/report/write.cpp
@@ -12,13 +12,13 @@
 namespace brasswood::lab {
 namespace {
 
-constexpr std::size_t kMostStories = 50;
+constexpr std::size_t kMaxStories = 50;
 
 using Writer = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
 
-class Json {
+class JsonWriter {
  public:
-  explicit Json(Writer& w) : w_(w) {}
+  explicit JsonWriter(Writer& w) : w_(w) {}
   void Put(const char* key, double v) {
     w_.Key(key);
     w_.Double(v);
@@ -60,13 +60,13 @@
   Writer& w_;
 };
 
-void PutEndings(Json& j, const std::uint64_t (&endings)[kEndings]) {
+void PutEndings(JsonWriter& j, const std::uint64_t (&endings)[kEndingCount]) {
   j.Object("endings", [&] {
-    for (std::size_t i = 0; i < kEndings; ++i) j.Put(std::string(kEndingNames[i]).c_str(), endings[i]);
+    for (std::size_t i = 0; i < kEndingCount; ++i) j.Put(std::string(kEndingNames[i]).c_str(), endings[i]);
   });
 }
 
-void PutLatency(Json& j, const LatencyFigures& l) {
+void PutLatency(JsonWriter& j, const LatencyFigures& l) {
   j.Object("latency_ms", [&] {
     j.Put("count", l.count);
     j.Put("p50", l.p50);
@@ -76,7 +76,7 @@
   });
 }
 
-void PutClass(Json& j, const ClassFigures& c) {
+void PutClass(JsonWriter& j, const ClassFigures& c) {
   j.Put("name", c.name);
   j.Put("asked", c.asked);
   PutEndings(j, c.endings);
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-std::vector<std::string> Unmet(const Outcome& outcome, const Figures& f) {
+std::vector<std::string> UnmetExpectations(const Outcome& outcome, const Figures& f) {
   const ExpectPlan& e = outcome.truth.scenario.expect;
   std::vector<std::string> all;
   std::ostringstream text;
@@ -103,14 +103,14 @@
   return all;
 }
 
-Verdict Decide(const Outcome& outcome, const Figures& figures) {
+Verdict DecideVerdict(const Outcome& outcome, const Figures& figures) {
   if (!outcome.breaches.empty() || !outcome.troubles.empty()) return Verdict::kFailed;
   if (outcome.partial) return Verdict::kPartial;
   if (!outcome.void_because.empty()) return Verdict::kVoid;
-  return Unmet(outcome, figures).empty() ? Verdict::kPassed : Verdict::kFailed;
+  return UnmetExpectations(outcome, figures).empty() ? Verdict::kPassed : Verdict::kFailed;
 }
 
-std::string_view Name(Verdict verdict) {
+std::string_view VerdictName(Verdict verdict) {
   static constexpr std::string_view kNames[] = {"passed", "failed", "void", "partial"};
   return kNames[static_cast<std::size_t>(verdict)];
 }
@@ -119,16 +119,16 @@
   rapidjson::StringBuffer text;
   Writer w(text);
   w.SetIndent(' ', 1);
-  Json j(w);
+  JsonWriter j(w);
   const Scenario& s = outcome.truth.scenario;
   j.Object(nullptr, [&] {
     j.Put("version", std::uint64_t{kResultVersion});
     j.Put("scenario", s.name);
     j.Put("seed", s.seed);
-    j.Put("verdict", std::string(Name(Decide(outcome, f))));
+    j.Put("verdict", std::string(VerdictName(DecideVerdict(outcome, f))));
     j.Texts("void_because", outcome.void_because);
     j.Texts("troubles", outcome.troubles);
-    j.Texts("unmet", Unmet(outcome, f));
+    j.Texts("unmet", UnmetExpectations(outcome, f));
     j.Array("breaches", outcome.breaches, [&](const Breach& b) {
       j.Put("rule", std::string(kRuleNames[static_cast<std::size_t>(b.rule)]));
       j.Put("request", IdText(b.request));
@@ -155,7 +155,7 @@
       j.Put("extra_fetches", x.extra_fetches);
       j.Object("service", [&] {
         j.Put("full_s", x.service.full);
-        for (std::size_t i = 0; i < kServiceParts; ++i) {
+        for (std::size_t i = 0; i < kServiceNameCount; ++i) {
           j.Put((std::string(kServiceNames[i]) + "_s").c_str(), x.service.back[i]);
         }
         j.Put("slowest_router_s", x.service.slowest_router);
@@ -218,10 +218,10 @@
   std::ostringstream out;
   out << std::fixed;
   const Scenario& s = outcome.truth.scenario;
-  out << s.name << ": " << Name(Decide(outcome, f)) << "\n";
+  out << s.name << ": " << VerdictName(DecideVerdict(outcome, f)) << "\n";
   for (const std::string& why : outcome.void_because) out << "  void: " << why << "\n";
   for (const std::string& what : outcome.troubles) out << "  trouble: " << what << "\n";
-  for (const std::string& what : Unmet(outcome, f)) out << "  unmet: " << what << "\n";
+  for (const std::string& what : UnmetExpectations(outcome, f)) out << "  unmet: " << what << "\n";
   out << std::setprecision(1) << "  " << f.asked << " requests in " << f.length_s << " s\n";
   out << std::left << std::setw(20) << "  class" << std::right << std::setw(8) << "asked";
   for (const auto name : kEndingNames) out << std::setw(12) << name;
@@ -238,16 +238,18 @@
   };
   for (const ClassFigures& c : f.classes) row(c);
   row(f.all);
-  out << std::setprecision(3) << "  hits " << f.hit_share << ", attempts a request "
-      << f.attempts_per_request << ", tries a request " << f.tries_per_request << ", fetches a request "
-      << f.fetches_per_request << ", crossing " << f.crossing_share << "\n  connections a request "
-      << f.connections_per_request << ", met closed at rest " << f.crossed_share << "\n"
-      << "  origin at most at " << f.origin_peak << " of its capacity, fell " << f.origin_falls
-      << " times; router CPU " << std::setprecision(0) << f.cpu_us_per_request << " us a request\n";
-  out << std::setprecision(2) << "  use of the nodes: busiest " << f.spread.busiest << ", idlest "
-      << f.spread.idlest << " of the mean, variation " << std::setprecision(3) << f.spread.variation
-      << ", Jain " << f.spread.jain << ", idle beside a busy one " << std::setprecision(0)
-      << f.spread.idle_s << " s, herd " << std::setprecision(1) << f.spread.herd << "\n"
+  out << std::setprecision(3) << "  hits " << f.hit_share << ", attempts per request "
+      << f.attempts_per_request << ", tries per request " << f.tries_per_request << ", fetches per request "
+      << f.fetches_per_request << ", to other zones " << f.cross_zone_share
+      << "\n  connections per request " << f.connections_per_request
+      << ", on connections closed while idle " << f.closed_idle_share << "\n"
+      << "  origin load at most " << f.origin_peak << " of its capacity, failed " << f.origin_falls
+      << " times; router CPU " << std::setprecision(0) << f.cpu_us_per_request << " us per request\n";
+  out << std::setprecision(2) << "  utilisation of cache servers: busiest " << f.spread.busiest
+      << ", idlest " << f.spread.idlest << " of the mean, variation " << std::setprecision(3)
+      << f.spread.variation << ", Jain " << f.spread.jain << ", idle while another is busy "
+      << std::setprecision(0) << f.spread.idle_s << " s, herd " << std::setprecision(1) << f.spread.herd
+      << "\n"
       << "  laboratory: " << f.routers.size() << " routers ready in " << std::setprecision(2) << f.ready_s
       << " s, emulator " << static_cast<double>(outcome.truth.world.cpu.count()) / 1e9 << " s and load "
       << static_cast<double>(outcome.truth.load.cpu.count()) / 1e9 << " s of their cores, emulator at most "
@@ -258,33 +260,33 @@
     if (x.recovered_s < 0) {
       out << "not recovered";
     } else {
-      out << "back " << x.recovered_s << " s after its start, " << x.recovered_after_s
+      out << "recovered " << x.recovered_s << " s after its start, " << x.recovered_after_s
           << " s after its end";
     }
     out << "; lost " << x.lost << " requests, " << x.extra_fetches << " extra fetches\n    full service ";
-    const auto back = [&](double after) {
+    const auto put_seconds = [&](double after) {
       if (after < 0) {
         out << "never";
       } else {
         out << after << " s";
       }
     };
-    back(x.service.full);
+    put_seconds(x.service.full);
     out << " after its end (";
-    for (std::size_t i = 0; i < kServiceParts; ++i) {
+    for (std::size_t i = 0; i < kServiceNameCount; ++i) {
       out << (i == 0 ? "" : ", ") << kServiceNames[i] << ' ';
-      back(x.service.back[i]);
+      put_seconds(x.service.back[i]);
     }
     out << "), slowest router " << x.service.slowest_router << " s; at most " << x.service.lists_per_s
-        << " list calls and " << x.service.again_per_s << " second attempts a second, "
-        << x.service.fetches_out << " fetches out, new connections " << x.service.connections
-        << " of the mean\n";
+        << " list calls and " << x.service.again_per_s << " repeated attempts per second, "
+        << x.service.fetches_out << " concurrent fetches, new connections of the busiest server "
+        << x.service.connections << " of the mean\n";
   }
   out << "  rules: ";
   if (outcome.breaches.empty()) {
     out << "all kept\n";
   } else {
-    out << outcome.breaches.size() << " times broken; the first:\n"
+    out << outcome.breaches.size() << " violations; the first:\n"
         << Story(outcome.truth, outcome.breaches[0]);
   }
   return out.str();
@@ -292,7 +294,7 @@
 
 namespace {
 
-void Put(const std::string& path, const std::string& text) {
+void WriteFile(const std::string& path, const std::string& text) {
   {
     std::ofstream out(path + ".part", std::ios::trunc | std::ios::binary);
     out << text;
@@ -306,15 +308,15 @@
 }  // namespace
 
 void WriteAll(const std::string& folder, const Outcome& outcome, const Figures& figures) {
-  Put(folder + "/result.json", ResultJson(outcome, figures));
-  Put(folder + "/report.html", ReportHtml(outcome, figures));
-  Put(folder + "/summary.txt", Summary(outcome, figures));
+  WriteFile(folder + "/result.json", ResultJson(outcome, figures));
+  WriteFile(folder + "/report.html", ReportHtml(outcome, figures));
+  WriteFile(folder + "/summary.txt", Summary(outcome, figures));
   if (outcome.breaches.empty()) return;
   std::string stories;
-  for (std::size_t i = 0; i < outcome.breaches.size() && i < kMostStories; ++i) {
+  for (std::size_t i = 0; i < outcome.breaches.size() && i < kMaxStories; ++i) {
     stories += Story(outcome.truth, outcome.breaches[i]) + "\n";
   }
-  Put(folder + "/stories.txt", stories);
+  WriteFile(folder + "/stories.txt", stories);
 }
 
 }  // namespace brasswood::lab
--- a/lab/report/write.h
+++ b/lab/report/write.h
@@ -1,4 +1,4 @@
-// What a run leaves: result.json for programs, report.html and a short text for people.
+// The output files of a run: result.json for programs, report.html and a short summary for people.
 #ifndef BRASSWOOD_LAB_REPORT_WRITE_H_
 #define BRASSWOOD_LAB_REPORT_WRITE_H_
 
@@ -8,22 +8,23 @@
 
 namespace brasswood::lab {
 
-// The version of result.json. It grows when a field changes its meaning or goes; docs/LAB.md has the
-// fields.
+// The version of result.json. It is incremented when a field is removed or changes its meaning; docs/LAB.md
+// documents the fields.
 constexpr int kResultVersion = 1;
 
 enum class Verdict { kPassed, kFailed, kVoid, kPartial };
-Verdict Decide(const Outcome& outcome, const Figures& figures);
-std::string_view Name(Verdict verdict);
+Verdict DecideVerdict(const Outcome& outcome, const Figures& figures);
+std::string_view VerdictName(Verdict verdict);
 
-// What the scenario expects of its result and did not get; empty where it got all.
-std::vector<std::string> Unmet(const Outcome& outcome, const Figures& figures);
+// The expectations of the scenario that the result does not meet, as messages.
+std::vector<std::string> UnmetExpectations(const Outcome& outcome, const Figures& figures);
 
 std::string ResultJson(const Outcome& outcome, const Figures& figures);
 std::string ReportHtml(const Outcome& outcome, const Figures& figures);
 std::string Summary(const Outcome& outcome, const Figures& figures);
 
-// All of them into the folder, and stories.txt where a rule was broken. Files are whole or not there.
+// Writes all files into the folder, and stories.txt if a rule was violated. A file is either complete or
+// absent.
 void WriteAll(const std::string& folder, const Outcome& outcome, const Figures& figures);
 
 }  // namespace brasswood::lab
--- a/lab/run/soak.cpp
+++ b/lab/run/soak.cpp
@@ -273,10 +273,10 @@
     for (int attempt = 0; attempt < 2 && verdict == Verdict::kVoid; ++attempt) {
       const Outcome outcome = RunOnce(scenario, options);
       const Figures figures = Measure(outcome);
-      verdict = Decide(outcome, figures);
+      verdict = DecideVerdict(outcome, figures);
       WriteAll(folder, outcome, figures);
-      out << "seed " << seed << ": " << Name(verdict) << ", " << scenario.routers.per_hall << " routers, "
-          << scenario.faults.size() << " faults, " << figures.asked << " requests\n";
+      out << "seed " << seed << ": " << VerdictName(verdict) << ", " << scenario.routers.per_hall
+          << " routers, " << scenario.faults.size() << " faults, " << figures.asked << " requests\n";
       for (const std::string& what : outcome.troubles) out << "  " << what << "\n";
       for (const Breach& b : outcome.breaches) {
         out << "  " << kRuleNames[static_cast<std::size_t>(b.rule)] << ": " << IdText(b.request) << " "
--- a/lab/run/studies.cpp
+++ b/lab/run/studies.cpp
@@ -37,7 +37,7 @@
   CompletedRun p;
   p.outcome = RunOnce(scenario, options);
   p.figures = Measure(p.outcome);
-  p.verdict = Decide(p.outcome, p.figures);
+  p.verdict = DecideVerdict(p.outcome, p.figures);
   WriteAll(folder, p.outcome, p.figures);
   return p;
 }
@@ -159,7 +159,7 @@
       metrics = Metrics(p.figures);
       for (const Metric& m : metrics) by_name[m.name].push_back(m.value);
       PrintProgress(study, parameter + "=" + values[v] + ", run " + std::to_string(run) + ": " +
-                               std::string(Name(p.verdict)));
+                               std::string(VerdictName(p.verdict)));
     }
     if (!std::exchange(head, true)) {
       out << std::left << std::setw(16) << parameter;
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -163,7 +163,7 @@
   }
   REQUIRE(std::count(weights.begin(), weights.end(), 8.0) == 6);
   CHECK(busy > others);  // 6 routers at eight times beside 18: 48 parts to 18
-  const auto avoided = ReadAvoided(t);
+  const auto avoided = ReadAvoidedShares(t);
   REQUIRE(avoided.size() == t.world.machines.size());
   double most = 0, before = 0;
   for (std::size_t m = 1; m < avoided.size(); ++m) {
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -45,7 +45,7 @@
       CHECK(found > 0);
       // A machine that is pushed over also answers late; the others break just their one rule.
       if (row.rule != Rule::kColdPush) CHECK(found == static_cast<long>(outcome.breaches.size()));
-      CHECK(Decide(outcome, Measure(outcome)) == Verdict::kFailed);
+      CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kFailed);
     }
   }
 }
@@ -98,14 +98,14 @@
   const Outcome outcome = Play(site, {BRASSWOOD_FAULTY, "honest"}, folder.path);
   REQUIRE_FALSE(outcome.void_because.empty());  // on a full machine there are further reasons
   CHECK_THAT(outcome.void_because[0], Catch::Contains("behind its schedule"));
-  CHECK(Decide(outcome, Measure(outcome)) == Verdict::kVoid);
+  CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kVoid);
 }
 
 TEST_CASE("a router that will not start, or that ends by itself, is a trouble") {
   Folder folder;
   const Outcome outcome = Play(Site(""), {"/bin/false"}, folder.path);
   REQUIRE_FALSE(outcome.troubles.empty());
-  CHECK(Decide(outcome, Measure(outcome)) == Verdict::kFailed);
+  CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kFailed);
 }
 
 // Guards against a run that ends before its platform's thread has begun, and waits for it for ever.
