--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -1,6 +1,6 @@
-// 24 processes of the router that stop and begin again together, with what they had kept in every state,
-// and on disks that fail: judged by what the emulator saw. And the measure of it, time to full service, on
-// planted runs.
+// 24 router processes that restart together, with their persisted state in every condition and on failing
+// disks; checked by what the emulator observed. Also tests the computation of the time to full service on
+// constructed runs.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
@@ -19,7 +19,7 @@
 
 const char* const kState = "state = true\nstate_every_ms = 300\n";
 
-std::string BackSite(const std::string& fault) { return FleetSite(fault) + kState; }
+std::string RestartSite(const std::string& fault) { return FleetSite(fault) + kState; }
 
 std::string LogOf(const Outcome& outcome, int router) {
   std::ifstream in(outcome.truth.router_logs[static_cast<std::size_t>(router)]);
@@ -34,13 +34,13 @@
 
 }  // namespace
 
-TEST_CASE("two dozen routers begin again together and keep the rules, whatever is left of their state") {
+TEST_CASE("24 routers restart together and keep the rules in every condition of their persisted state") {
   struct Row {
     const char* name;
     const char* fault;
-    int restarted;     // routers that were away
-    const char* says;  // their logs
-    int logs;          // so many of them at least
+    int restarted;  // number of routers that were down
+    const char* log_text;
+    int logs;  // minimum number of routers whose logs contain log_text
   };
   const char* kill = "[[fault]]\nkind = 'restart'\npart = 0.9\nat_s = 3.5\nfor_s = 0\ndown_ms = 300\n";
   const Row rows[] = {
@@ -57,7 +57,7 @@
   for (const Row& row : rows) {
     DYNAMIC_SECTION(row.name) {
       Folder folder;
-      const Outcome outcome = Play(BackSite(kill + std::string(row.fault) + "\n"), {BRASSWOOD_PROGRAM},
+      const Outcome outcome = Play(RestartSite(kill + std::string(row.fault) + "\n"), {BRASSWOOD_PROGRAM},
                                    folder.path, {"length_s=6", "load.retries=2", "load.notice_ms=100"});
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
       for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
@@ -67,61 +67,60 @@
         CHECK(a.launched >= a.from);
       }
       CHECK(static_cast<int>(away.size()) == row.restarted);
-      CHECK(LogsWith(outcome, row.says) >= row.logs);
+      CHECK(LogsWith(outcome, row.log_text) >= row.logs);
       CHECK(Served(outcome.truth) > 0.6);
     }
   }
 }
 
-TEST_CASE(
-    "two dozen routers serve on through every way in which a disk fails, and keep their state afterwards") {
+TEST_CASE("24 routers keep serving while their disks fail, and persist their state afterwards") {
   const std::pair<const char*, const char*> rows[] = {{"full", "No space left on device"},
                                                       {"error", "Input/output error"},
                                                       {"stall", "the disk does not answer"},
                                                       {"read_only", "Read-only file system"},
                                                       {"short", ""}};
-  for (const auto& [disk, says] : rows) {
+  for (const auto& [disk, log_text] : rows) {
     DYNAMIC_SECTION(disk) {
       Folder folder;
       const std::string fault =
           std::string("[[fault]]\nkind = 'disk'\ndisk = '") + disk + "'\npart = 1\nat_s = 3\nfor_s = 1.5\n";
-      const Outcome outcome = Play(BackSite(fault), {BRASSWOOD_PROGRAM}, folder.path, {"length_s=7"});
+      const Outcome outcome = Play(RestartSite(fault), {BRASSWOOD_PROGRAM}, folder.path, {"length_s=7"});
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
       for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
       CHECK(Served(outcome.truth) > 0.97);
-      if (*says != '\0') {
+      if (*log_text != '\0') {
         CHECK(LogsWith(outcome, std::string("state not kept: ")) == kRouters);
-        CHECK(LogsWith(outcome, says) == kRouters);
+        CHECK(LogsWith(outcome, log_text) == kRouters);
         CHECK(LogsWith(outcome, "state is kept again") >= kRouters * 9 / 10);
       }
-      // Once it is over, or at SIGTERM, what is there is whole.
-      int sound = 0;
+      // After the fault, or at SIGTERM, the state file is complete.
+      int complete = 0;
       for (int r = 0; r < kRouters; ++r) {
         std::string why;
         const auto text =
             ReadWhole(folder.path + "/state-" + std::to_string(r) + "/n" + std::to_string(r) + ".state",
                       kMostSnapshot, why);
-        sound += text && DecodeSnapshot(*text, why);
+        complete += text && DecodeSnapshot(*text, why);
       }
-      CHECK(sound >= kRouters * 9 / 10);
+      CHECK(complete >= kRouters * 9 / 10);
     }
   }
 }
 
-TEST_CASE("discovery that is short of room tells all two dozen routers that begin together") {
+TEST_CASE("a rate-limited discovery service answers all 24 routers that start together") {
   Folder folder;
   const Outcome outcome =
-      Play(BackSite("[[fault]]\nkind = 'restart'\npart = 1\nat_s = 0.8\nfor_s = 0\ndown_ms = 200\n"),
+      Play(RestartSite("[[fault]]\nkind = 'restart'\npart = 1\nat_s = 0.8\nfor_s = 0\ndown_ms = 200\n"),
            {BRASSWOOD_PROGRAM}, folder.path, {"discovery.calls_per_s=20", "length_s=5"});
   for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
   const auto refused = std::count_if(outcome.truth.world.lists.begin(), outcome.truth.world.lists.end(),
                                      [](const ListRecord& l) { return l.refused; });
   CHECK(refused > 0);
-  CHECK(MeasureService(outcome.truth, 0).back[4] >= 0);  // each has had its list
+  CHECK(MeasureService(outcome.truth, 0).back[4] >= 0);  // each router received its list
 }
 
-TEST_CASE("time to full service is told from the truth") {
-  // 20 s, one request each 10 ms at one of two nodes, a router that is away from 8 to 9 s.
+TEST_CASE("time to full service is computed from the recorded truth") {
+  // 20 s, one request every 10 ms at one of two cache servers; the router is down from 8 s to 9 s.
   Truth t;
   t.start = Time(std::chrono::seconds(1000));
   Scenario& s = t.scenario;
@@ -178,8 +177,8 @@
   const ServiceFigures service = MeasureService(t, 0);
   CHECK(service.back[0] == Approx(2));    // in time at 11 s, 2 s after the end
   CHECK(service.back[1] == Approx(3.5));  // hits
-  CHECK(service.back[2] == Approx(3.5));  // origin: it had nothing to do before
-  CHECK(service.back[3] == Approx(0));    // evenly used throughout
+  CHECK(service.back[2] == Approx(3.5));  // origin: it was idle before
+  CHECK(service.back[3] == Approx(0));    // even all the time
   CHECK(service.back[4] == Approx(0.8));  // the list
   CHECK(service.back[5] == Approx(0.5).margin(0.01));
   CHECK(service.full == Approx(3.5));
@@ -187,7 +186,7 @@
   CHECK(service.fetches_out == 1);
   CHECK(service.lists_per_s == 2);
   CHECK(service.connections == Approx(1));
-  // What never comes back has no figure.
+  // A figure that never recovers is reported as negative.
   for (AttemptRecord& c : t.world.attempts) {
     if (c.machine != kOrigin && c.whole > at(9)) c.fate = Fate::kMiss;
   }
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -1,5 +1,5 @@
-// 24 processes of the router with faults put between them and their machines: judged by what the emulator
-// saw, never by the routers' word. Each row also shows that its fault was really there.
+// 24 router processes with faults between them and the cache servers. The checks use what the emulator
+// observed, not what the routers report. Each row also checks that its fault took effect.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -14,19 +14,19 @@
 
 namespace {
 
-// From each fault's start to its end, with a tenth of a second for what was on its way.
+// Whether a time lies within the fault, with a margin of 100 ms at both ends for messages in transit.
 bool During(const Truth& t, Time at) {
   const FaultPlan& f = t.scenario.faults[0];
   const Time from = t.start + f.at + std::chrono::milliseconds(100) + t.world.lag;
   return at >= from && at < t.start + f.at + f.length - std::chrono::milliseconds(100);
 }
 
-struct Seen {  // of the attempts at nodes while the fault lasted
+struct ObservedAttempts {  // at cache servers, during the fault
   int all = 0, answered = 0, reset = 0;
-  std::set<std::pair<int, int>> pairs, answered_pairs;  // router and machine
+  std::set<std::pair<int, int>> pairs, answered_pairs;  // (router, machine)
 };
-Seen Look(const Truth& t) {
-  Seen seen;
+ObservedAttempts Observe(const Truth& t) {
+  ObservedAttempts seen;
   for (const AttemptRecord& c : t.world.attempts) {
     if (c.machine == kOrigin || !During(t, c.whole)) continue;
     ++seen.all;
@@ -38,15 +38,15 @@
 
 }  // namespace
 
-TEST_CASE("two dozen routers keep the rules whatever breaks between them and their machines") {
+TEST_CASE("24 routers keep the rules under every kind of link, partition and machine fault") {
   struct Row {
     const char* name;
     const char* fault;
-    double served;  // at least, of all that was asked for: the fault takes some of it away by itself
-    void (*bites)(const Truth&, const Seen&);
+    double served;  // minimum share of requests served; the fault itself makes some fail
+    void (*check_effect)(const Truth&, const ObservedAttempts&);
   };
-  const auto none_crosses = [](const Truth& t, const Seen& seen) {
-    // Of the pairs that the fault parts, none exchanged an attempt while it lasted.
+  const auto none_crosses = [](const Truth& t, const ObservedAttempts& seen) {
+    // No attempt passed between a router and a server that the fault separates.
     const FaultPlan& f = t.scenario.faults[0];
     CHECK(seen.all > 0);
     if (f.kind == FaultKind::kPartition) {
@@ -74,25 +74,25 @@
       {"a link cut one way",
        "[[fault]]\nkind = 'link_cut'\nway = 'back'\ncount = 3\nrouter_part = 0.5\nat_s = 0.8\nfor_s = "
        "1.5\n",
-       0.9, [](const Truth&, const Seen& seen) { CHECK(seen.all > 0); }},
+       0.9, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
       {"a slow link",
        "[[fault]]\nkind = 'link_slow'\ncount = 7\ndelay_ms = 120\njitter_ms = 60\nat_s = 0.8\nfor_s = "
        "1.5\n",
        0.97,
-       [](const Truth& t, const Seen&) {
-         // Nothing that a node served while it lasted reached its client sooner than the delay.
+       [](const Truth& t, const ObservedAttempts&) {
+         // No value reached its client in less than the delay during the fault.
          for (const TryRecord& r : t.load.tries) {
            if (r.end != TryEnd::kValue || !During(t, r.sent) || !During(t, r.ended)) continue;
            CHECK(r.ended - r.sent >= std::chrono::milliseconds(120));
          }
        }},
       {"a lossy link", "[[fault]]\nkind = 'link_lossy'\ncount = 7\nshare = 0.15\nat_s = 0.8\nfor_s = 1.5\n",
-       0.85, [](const Truth&, const Seen& seen) { CHECK(seen.all > 0); }},
+       0.85, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
       {"a partition", "[[fault]]\nkind = 'partition'\nsize = 2\nat_s = 0.8\nfor_s = 1.5\n", 0.9,
        none_crosses},
       {"a machine with its router", "[[fault]]\nkind = 'machine_drop'\ncount = 2\nat_s = 0.8\nfor_s = 1\n",
        0.85,
-       [](const Truth& t, const Seen& seen) {
+       [](const Truth& t, const ObservedAttempts& seen) {
          CHECK(t.absences.size() == 2);
          for (const auto& [machine, router] : Dropped(t.scenario, 0)) {
            CHECK(t.world.machines[static_cast<std::size_t>(machine)].starts.size() == 1);
@@ -103,7 +103,7 @@
          }
        }},
       {"neighbours", "[[fault]]\nkind = 'capacity_drop'\npart = 1\nshare = 0.5\nat_s = 0.8\nfor_s = 1.5\n",
-       0.97, [](const Truth&, const Seen& seen) { CHECK(seen.all > 0); }},
+       0.97, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
   };
   for (const Row& row : rows) {
     DYNAMIC_SECTION(row.name) {
@@ -112,13 +112,13 @@
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
       for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
       CHECK(Served(outcome.truth) >= row.served);
-      row.bites(outcome.truth, Look(outcome.truth));
+      row.check_effect(outcome.truth, Observe(outcome.truth));
     }
   }
 }
 
-// A router whose links break moves its own keys; the other routers' stay where they are.
-TEST_CASE("a broken link at some routers moves those routers' keys only") {
+// Routers with broken links move their own keys to other servers; the keys of the other routers stay.
+TEST_CASE("broken links at some routers move the keys of those routers only") {
   Folder folder;
   const Outcome outcome =
       Play(FleetSite("[[fault]]\nkind = 'link_cut'\ncount = 2\nrouter_part = 0.25\nat_s = 3\nfor_s = 3\n"),
@@ -126,7 +126,7 @@
   for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
   const Truth& t = outcome.truth;
   const std::vector<int> cut = VictimRouters(t.scenario, 0);
-  // Of the attempts at nodes by routers whose links hold: each machine's share, before the fault and in it.
+  // Attempts by routers with intact links, counted by machine, before and during the fault.
   std::map<int, double> before, within;
   double all_before = 0, all_within = 0;
   for (const AttemptRecord& c : t.world.attempts) {
@@ -146,8 +146,9 @@
   CHECK(moved < 0.15);
 }
 
-// The busy routers get their times the others' traffic, and a router's log says what it avoids.
-TEST_CASE("routers of unequal traffic, and what they believe") {
+// Busy routers get a multiple of the others' traffic, and the debug log of a router lists the servers that
+// it avoids.
+TEST_CASE("busy routers get more traffic, and debug logs show the avoided servers") {
   Folder folder;
   ::setenv("BRASSWOOD_LOG", "debug", 1);
   const Outcome outcome =
@@ -162,7 +163,7 @@
     (weights[static_cast<std::size_t>(r.router)] > 1 ? busy : others) += 1;
   }
   REQUIRE(std::count(weights.begin(), weights.end(), 8.0) == 6);
-  CHECK(busy > others);  // 6 routers at eight times beside 18: 48 parts to 18
+  CHECK(busy > others);  // 6 routers with weight 8 against 18 with weight 1: 48 to 18
   const auto avoided = ReadAvoidedShares(t);
   REQUIRE(avoided.size() == t.world.machines.size());
   double most = 0, before = 0;
@@ -171,15 +172,15 @@
     most = std::max(most, static_cast<double>(avoided[m][3]));
   }
   CHECK(before == 0);
-  CHECK(most > 0.2);  // the silent ones are avoided by many
+  CHECK(most > 0.2);  // many routers avoid the unresponsive servers
 }
 
-TEST_CASE("an emulator that uses up its core voids the run") {
+TEST_CASE("a run is void if the emulator uses up its core or the machine has no idle time") {
   Folder folder;
-  // 90 requests a second is nothing: what it costs is planted. Whatever else voids it on a busy machine
-  // stands beside that.
+  // 90 requests per second cost almost nothing, so the CPU time is replaced by fixed values. On a busy
+  // machine the run may be void for other reasons too; only the messages under test are counted.
   const Outcome outcome = Play(FleetSite(""), {BRASSWOOD_FAULTY, "honest"}, folder.path);
-  const auto says = [&](Duration cpu, double idle, const char* what) {
+  const auto reasons_with = [&](Duration cpu, double idle, const char* what) {
     Outcome planted = outcome;
     planted.void_because.clear();
     planted.truth.world.cpu = cpu;
@@ -187,13 +188,13 @@
     return std::count_if(planted.void_because.begin(), planted.void_because.end(),
                          [&](const std::string& why) { return why.find(what) != why.npos; });
   };
-  CHECK(says(std::chrono::seconds(10), 1.0, "the emulator used") == 1);
-  CHECK(says(std::chrono::seconds(1), 1.0, "the emulator used") == 0);
-  CHECK(says(std::chrono::seconds(1), 0.001, "stood idle") == 1);
-  CHECK(says(std::chrono::seconds(1), 1.0, "stood idle") == 0);
+  CHECK(reasons_with(std::chrono::seconds(10), 1.0, "the emulator used") == 1);
+  CHECK(reasons_with(std::chrono::seconds(1), 1.0, "the emulator used") == 0);
+  CHECK(reasons_with(std::chrono::seconds(1), 0.001, "stood idle") == 1);
+  CHECK(reasons_with(std::chrono::seconds(1), 1.0, "stood idle") == 0);
 }
 
-TEST_CASE("how evenly nodes are used is told from the truth") {
+TEST_CASE("the spread of utilisation is computed from the recorded truth") {
   Truth t;
   t.start = Time(std::chrono::seconds(1000));
   t.scenario.length = std::chrono::seconds(10);
@@ -212,7 +213,7 @@
     i.at = t.start + std::chrono::milliseconds(at);
     t.load.intents.push_back(i);
   }
-  // In proportion to what each can do: even, though one gets three times what the other does.
+  // In proportion to capacity: even, although one server gets three times as many attempts as the other.
   for (int at = 0; at < 10000; at += 400) {
     attempt(1, at);
     for (const int more : {0, 130, 260}) attempt(2, at + more);
@@ -222,7 +223,8 @@
   CHECK(f.jain == Approx(1).margin(0.001));
   CHECK(f.idle_s == 0);
   CHECK(f.herd < 4);
-  // All of five seconds' attempts at once is a herd, and so much of the small node that the other is idle.
+  // 60 attempts at the small server at once count as a herd and make its utilisation far higher than the
+  // other's.
   for (int i = 0; i < 60; ++i) attempt(1, 5050);
   f = MeasureSpread(t);
   CHECK(f.busiest > 1.5);
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -1,6 +1,6 @@
-// Whole runs of a few seconds: routers that break each rule are caught, the real one is not, and a run that
-// the laboratory cannot keep up with is void. Deadlines are long and limits on time grow with the
-// laboratory's own lag, so that no verdict hangs on the speed of the machine.
+// Complete runs of a few seconds: routers that break a rule are detected, the real router passes, and a run
+// that the laboratory cannot keep up with is void. Deadlines are long and time limits are extended by the
+// laboratory's own lag, so that verdicts do not depend on the speed of the machine.
 #include <catch2/catch.hpp>
 #include <filesystem>
 
@@ -10,7 +10,7 @@
 using namespace brasswood;
 using namespace brasswood::lab;
 
-TEST_CASE("routers that break a rule are caught, by that rule") {
+TEST_CASE("a router that breaks a rule is reported for that rule") {
   struct Row {
     const char* fault;
     const char* more;
@@ -18,7 +18,7 @@
     Overrides overrides;
   };
   const char* drain = "[[fault]]\nkind = 'drain'\ncount = 1\nat_s = 0.3\nfor_s = 9\n";
-  // Three cold successors at once; of all that goes to the last of them, each command costs 30 ms at least.
+  // Three cold successors at once; each command sent to the last of them takes at least 30 ms.
   const char* replace =
       "[[fault]]\nkind = 'replace'\ncount = 3\nbatch = 1.0\nat_s = 0.2\nfor_s = 0.2\ndrain_ms = 9000\n";
   const Row rows[] = {
@@ -43,14 +43,14 @@
       const auto found = std::count_if(outcome.breaches.begin(), outcome.breaches.end(),
                                        [&](const Breach& b) { return b.rule == row.rule; });
       CHECK(found > 0);
-      // A machine that is pushed over also answers late; the others break just their one rule.
+      // An overloaded cold server also answers late; every other fault breaks exactly one rule.
       if (row.rule != Rule::kColdPush) CHECK(found == static_cast<long>(outcome.breaches.size()));
       CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kFailed);
     }
   }
 }
 
-TEST_CASE("a plain router that breaks none is not accused") {
+TEST_CASE("a simple router that keeps all rules gets no violations") {
   Folder folder;
   const Outcome outcome = Play(Site("[[fault]]\nkind = 'drain'\ncount = 1\nat_s = 0.3\nfor_s = 9\n"),
                                {BRASSWOOD_FAULTY, "honest"}, folder.path);
@@ -59,7 +59,7 @@
   CHECK(Measure(outcome).all.endings[0] > 100);
 }
 
-TEST_CASE("the router keeps the rules through every trouble that the laboratory knows") {
+TEST_CASE("the router keeps the rules under node, answer, membership, origin, router and flood faults") {
   const std::pair<const char*, const char*> rows[] = {
       {"nodes",
        "[[fault]]\nkind = 'hang'\ncount = 1\nat_s = 0.3\nfor_s = 0.6\n"
@@ -91,32 +91,33 @@
   }
 }
 
-TEST_CASE("a load that cannot keep its schedule voids the run") {
+TEST_CASE("a run is void if the load generator falls behind its schedule") {
   Folder folder;
   std::string site = Site("");
   site.replace(site.find("late_limit_ms = 60000"), 21, "late_limit_ms = 0.01 ");
   const Outcome outcome = Play(site, {BRASSWOOD_FAULTY, "honest"}, folder.path);
-  REQUIRE_FALSE(outcome.void_because.empty());  // on a full machine there are further reasons
+  REQUIRE_FALSE(outcome.void_because.empty());  // on a busy machine there may be further reasons
   CHECK_THAT(outcome.void_because[0], Catch::Contains("behind its schedule"));
   CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kVoid);
 }
 
-TEST_CASE("a router that will not start, or that ends by itself, is a trouble") {
+TEST_CASE("a router that exits right after its start fails the run") {
   Folder folder;
   const Outcome outcome = Play(Site(""), {"/bin/false"}, folder.path);
   REQUIRE_FALSE(outcome.troubles.empty());
   CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kFailed);
 }
 
-// Guards against a run that ends before its platform's thread has begun, and waits for it for ever.
-TEST_CASE("a platform that is stopped before it runs ends at once") {
+// Guards against a deadlock: a run that ended before the platform's thread had started waited for it
+// forever.
+TEST_CASE("a platform that is stopped before it runs returns immediately") {
   World world(ReadScenario(Site(""), "test"));
   world.Stop();
   world.Run();
   CHECK(world.TakeTruth().attempts.empty());
 }
 
-TEST_CASE("an interrupted run leaves a valid partial result") {
+TEST_CASE("an interrupted run writes a valid partial result") {
   Folder folder;
   std::atomic<bool> interrupted{false};
   RunOptions options;
--- a/tests/lab/site.h
+++ b/tests/lab/site.h
@@ -1,5 +1,5 @@
-// A small site for whole runs of a few seconds. Deadlines are long and limits on time grow with the
-// laboratory's own lag, so that no verdict hangs on the speed of the machine.
+// A small site for complete runs of a few seconds. Deadlines are long and time limits are extended by the
+// laboratory's own lag, so that verdicts do not depend on the speed of the machine.
 #ifndef BRASSWOOD_TESTS_LAB_SITE_H_
 #define BRASSWOOD_TESTS_LAB_SITE_H_
 
@@ -12,9 +12,10 @@
 
 namespace brasswood::lab {
 
+// A temporary folder, removed with the object.
 struct Folder {
   std::string path;
-  // In memory where the machine has that: a disk that others keep busy is not what a test is to see.
+  // In memory if possible, so that a disk kept busy by other processes does not affect the test.
   Folder() {
     std::string name = std::filesystem::is_directory("/dev/shm") ? "/dev/shm" : "/tmp";
     name += "/brasswood-lab-test-XXXXXX";
@@ -25,6 +26,7 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
+// A scenario with one router and three cache servers; `more` is appended to the TOML text.
 inline std::string Site(const std::string& more) {
   return R"(
 length_s = 3
@@ -67,7 +69,7 @@
 
 constexpr int kRouters = 24;
 
-// The same before 24 routers and seven nodes.
+// The same site with 24 routers and seven cache servers.
 inline std::string FleetSite(const std::string& fault) {
   std::string site = Site(fault + R"(
 [[nodes]]
@@ -83,7 +85,7 @@
   return site;
 }
 
-// The share of what was asked for that was served.
+// The share of the intended requests that were served.
 inline double Served(const Truth& t) {
   double served = 0;
   for (const Intent& i : t.load.intents) served += i.served;
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -1,4 +1,4 @@
-// The soak in short: a minute of drawn faults over a handful of routers, the same ones each time.
+// A short soak: about a minute of random faults on a few routers, with fixed seeds.
 #include "lab/run/soak.h"
 
 #include <catch2/catch.hpp>
@@ -19,16 +19,17 @@
   plan.length_s = 11;
   Study study;
   study.folder = folder.path;
-  std::ostringstream said;
-  const Exit exit = RunSoak(plan, study, {{BRASSWOOD_PROGRAM}, {}}, said);
-  INFO(said.str());
+  std::ostringstream output;
+  const Exit exit = RunSoak(plan, study, {{BRASSWOOD_PROGRAM}, {}}, output);
+  INFO(output.str());
   CHECK(exit != Exit::kFailed);
   CHECK(exit != Exit::kPartial);
-  CHECK(said.str().find(" failed, ") != std::string::npos);  // it came to its end
+  CHECK(output.str().find(" failed, ") != std::string::npos);  // the final summary line was printed
 }
 
-// Guards against a pause after each accept that fails: requests on connections in the queue count as taken.
-TEST_CASE("requests on new connections are answered in time while a third of all calls on sockets fail") {
+// Guards against a pause after each failed accept, which delayed the requests on connections that waited in
+// the accept queue.
+TEST_CASE("requests on new connections are answered in time while 30% of the socket calls fail") {
   const Folder folder;
   const std::string site = R"(
 length_s = 4
