--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -57,7 +57,7 @@
   std::string title, unit;
   std::vector<Line> lines;
   bool log = false;      // logarithmic vertical axis
-  double least_top = 0;  // minimum for the top of the vertical axis
+  double min_top = 0;    // minimum for the top of the vertical axis
   double fixed_top = 0;  // exact top of the vertical axis, if not 0
 };
 
@@ -107,7 +107,7 @@
       high_ = std::max(low_ + 1, std::ceil(std::log10(std::max(high, 1e-3))));
       return;
     }
-    high = std::max(high, plot_.least_top);
+    high = std::max(high, plot_.min_top);
     if (high <= 0) high = 1;
     // Four grid steps of a round size.
     double step = std::pow(10, std::floor(std::log10(high / 4)));
