--- a/lab/base/scenario.h
+++ b/lab/base/scenario.h
@@ -58,8 +58,8 @@
   double write_times = 1.5;
   double work_cv = 0.5;
   int waiting = 200;
-  double fall_multiple = 2.5;  // overload, as a multiple of capacity, at which it fails; 0: never
-  Duration fall{0};            // how long the overload must last
+  double fall_multiple = 2.5;  // it fails when sent more work than this multiple of capacity; 0: never
+  Duration fall{0};            // the window over which that work is summed
   Duration down{0};            // how long it is then down
 };
 
