--- a/lab/explore/list_caller.cpp
+++ b/lab/explore/list_caller.cpp
@@ -49,7 +49,7 @@
   }
   void Answered(Time now, CallId id, std::int64_t version, ListActions& out) override {
     if (id != call_) return;
-    pacing_.Told(now);
+    pacing_.ListReceived(now);
     held_ = version;
     Open(now, out);
   }
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -21,7 +21,7 @@
       latencies_.Remove(id);  // otherwise it would still count in the mean of the sizes
     }
     RebuildUpServers();
-    if (e.kind != ListKind::kRemembered) list_calls_.Told(now_);
+    if (e.kind != ListKind::kRemembered) list_calls_.ListReceived(now_);
   }
   if (first && settings_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
 }
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -499,7 +499,7 @@
   deadlines_.Set(now_() + std::chrono::milliseconds(500), [this] { LogAvoidedServers(); });
 }
 
-void Engine::Told(const ServerList& list, const ListOrigin& origin) {
+void Engine::ListReceived(const ServerList& list, const ListOrigin& origin) {
   ++counters_.lists;
   const DirectoryUpdate update = directory_.Merge(list, origin);
   LogVerdict(update, list, origin);
@@ -518,7 +518,7 @@
 }
 
 // An incomplete answer may have been in transit for a long time: its drains have no grace period left.
-void Engine::ToldInPart(const ServerList& part, const ListOrigin& origin) {
+void Engine::PartialListReceived(const ServerList& part, const ListOrigin& origin) {
   availability_record_.RecordPart(part, origin.arrived);
   ListOrigin late = origin;
   late.told = std::min(origin.told, now_() - settings_.rules.drain_grace / 2);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -71,9 +71,9 @@
   // Called by the discovery client. The directory orders the updates (discovery/server_directory.h).
   // `old`: the list was saved so long ago that servers in it may have been replaced.
   void Remember(const ServerList& known, bool old = false);
-  void Told(const ServerList& list, const ListOrigin& origin);
+  void ListReceived(const ServerList& list, const ListOrigin& origin);
   // Entries of an answer that is incomplete, or not complete yet.
-  void ToldInPart(const ServerList& part, const ListOrigin& origin);
+  void PartialListReceived(const ServerList& part, const ListOrigin& origin);
   // A call to discovery failed. It is only counted: discovery/list_refresher.h schedules the next call.
   void ListRefused();
   const ServerDirectory& directory() const { return directory_; }
--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -145,7 +145,7 @@
   last_list_ = now;
   version_ = version;
   if (call.source == target_) {
-    pacing_.Told(now);
+    pacing_.ListReceived(now);
     current_ = target_;
     CloseAllButTarget(CallEnd::kMoved, out);
     CloseIf([](const Call&) { return true; }, CallEnd::kMadeWay, out);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -263,7 +263,7 @@
   const auto part = call.list.TakeCompletedEntries();
   if (!part) return;
   counters_.partial += !std::exchange(call.partially_used, true);
-  engine_.ToldInPart(*part, CurrentOrigin(call));
+  engine_.PartialListReceived(*part, CurrentOrigin(call));
 }
 
 void DiscoveryWatch::HandleList(Call& call, bool keep) {
@@ -283,7 +283,7 @@
     } else {
       Fail(id, CallEnd::kOlderList, received + ", older than what is held");
     }
-    engine_.Told(*list, origin);
+    engine_.ListReceived(*list, origin);
     return;
   }
   ++counters_.ended[static_cast<std::size_t>(CallEnd::kAnswered)];
@@ -296,7 +296,7 @@
   // The next call is sent before the engine applies the list: a watch stays open without a gap only if it
   // is called again at once.
   ExecuteActions(actions);
-  engine_.Told(*list, origin);
+  engine_.ListReceived(*list, origin);
 }
 
 void DiscoveryWatch::Fail(CallId id, CallEnd why, const std::string& detail) {
--- a/src/recovery/list_calls.h
+++ b/src/recovery/list_calls.h
@@ -47,7 +47,7 @@
   // The time over which the first calls of a fleet that starts together are spread.
   Duration spread() const { return spread_; }
   // Discovery has answered: the list is current as of now.
-  void Told(Time now) {
+  void ListReceived(Time now) {
     last_confirmed_ = now;
     failures_ = 0;
   }
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -146,7 +146,7 @@
   // A list from discovery. Its version is the next one unless the list states one.
   void Receive(ServerList list) {
     if (list.rev < 0) list.rev = engine->directory().held().value_or(0) + 1;
-    engine->Told(list, Origin());
+    engine->ListReceived(list, Origin());
   }
   bool MaySendFirstByte(AttemptId attempt, const std::string& endpoint) const {
     return engine->JudgeFirstByte(attempt, endpoint) == SendVerdict::kAllowed;
@@ -324,7 +324,7 @@
   part.entries.push_back({drains, "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
   part.entries.push_back({stays, "127.0.0.1:9", 0, 0, 0, Availability::kUp, 1, 0s});
   part.entries.push_back({"unknown", "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
-  w.engine->ToldInPart(part, w.Origin());
+  w.engine->PartialListReceived(part, w.Origin());
   CHECK_FALSE(w.MaySendFirstByte(there, "127.0.0.1:1"));
   CHECK(w.engine->FindServer(asked)->availability == Availability::kDraining);
   CHECK(w.engine->FindServer(1 - asked)->endpoint == "127.0.0.1:1");
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -173,7 +173,7 @@
     Time now = seconds(100), back;
     const bool swallowed = seed % 2 == 0;
     if (swallowed) {  // it stops answering a watch that has just begun, but answers others
-      calls.Told(now);
+      calls.ListReceived(now);
       back = now;
       now += limits.watch + limits.call_grace;
     } else {  // it is down for a while; the call in progress when it returns still fails
@@ -233,7 +233,7 @@
       while (remaining > 0) {
         const auto [now, r] = *next.begin();
         next.erase(next.begin());
-        if (watching[r]) own[r].Told(now);  // and calls again at once, for the next watch
+        if (watching[r]) own[r].ListReceived(now);  // and calls again at once, for the next watch
         watching[r] = false;
         left = std::min(std::max(1.0, capacity / 10), left + capacity * Seconds(now - filled));
         filled = now;
@@ -244,7 +244,7 @@
         left -= 1;
         remaining -= !notified[r];
         if (!notified[r]) {
-          own[r].Told(now);
+          own[r].ListReceived(now);
           next.emplace(now, r);
         } else {
           watching[r] = true;
