--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -110,7 +110,7 @@
 
 // ---- Requests ----
 
-RequestId Engine::Take(Front& front, std::uint64_t ticket, NewRequest request) {
+RequestId Engine::AcceptRequest(Front& front, std::uint64_t ticket, NewRequest request) {
   if (requests_.size() >= limits_.requests) {
     ++counters_.turned_away;
     CountClass(request.request_class, AnswerKind::kRefused);  // the front end refuses it
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -39,7 +39,7 @@
 
   // Called by front ends. Take returns 0 if the table of requests is full. The request's answer may be
   // delivered before Take returns.
-  RequestId Take(Front& front, std::uint64_t ticket, NewRequest request);
+  RequestId AcceptRequest(Front& front, std::uint64_t ticket, NewRequest request);
   void ClientGone(RequestId request);
   // Fails all open requests and aborts their attempts, because the process is about to exit. Returns the
   // number of requests failed.
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -156,7 +156,7 @@
     request.content = std::make_shared<const RequestContent>(RequestContent{"i", key, "", "", false});
     request.request_class = request_class;
     request.wait = 900ms;
-    return engine->Take(ends, ticket, request);
+    return engine->AcceptRequest(ends, ticket, request);
   }
   void AdvanceTo(Time t) {
     while (deadlines.Next() && *deadlines.Next() <= t) {
