--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -480,7 +480,7 @@
   invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kSentHarmlessly, who);
 }
 
-void Engine::Remember(const ServerList& known, bool old) {
+void Engine::SetInitialList(const ServerList& known, bool old) {
   Apply(directory_.SetInitialList(known, now_()), ListKind::kRemembered, old);
   ready_ = true;
   LogLine(Level::kInfo) << "list of version " << known.rev << " loaded at the start, "
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -70,7 +70,7 @@
 
   // Called by the discovery client. The directory orders the updates (discovery/server_directory.h).
   // `old`: the list was saved so long ago that servers in it may have been replaced.
-  void Remember(const ServerList& known, bool old = false);
+  void SetInitialList(const ServerList& known, bool old = false);
   void ListReceived(const ServerList& list, const ListOrigin& origin);
   // Entries of an answer that is incomplete, or not complete yet.
   void PartialListReceived(const ServerList& part, const ListOrigin& origin);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -97,9 +97,9 @@
   }
   operations.Restore();
   if (snapshot && !snapshot->list.entries.empty() && snapshot->list.rev > config.known.rev) {
-    engine.Remember(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old);
+    engine.SetInitialList(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old);
   } else {
-    engine.Remember(config.known);
+    engine.SetInitialList(config.known);
   }
   if (snapshot) {
     const double confidence =
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -135,7 +135,7 @@
       e.endpoint = "127.0.0.1:1";
       list.entries.push_back(e);
     }
-    engine->Remember(list);
+    engine->SetInitialList(list);
   }
   ListOrigin Origin() const {
     ListOrigin origin;
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -62,7 +62,7 @@
     OriginClient origin(loop, engine, limits, counters, budget);
     DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.rev);
     engine.Attach(servers, origin, watch);
-    engine.Remember(config.known);
+    engine.SetInitialList(config.known);
     ClientFront front(loop, engine, limits, config.settings.names, counters, config.listen);
     const std::function<void()> poll_control = [&] {
       blocked_ = true;
