--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -583,7 +583,7 @@
 
 // ---- State preserved over a restart ----
 
-Snapshot Engine::Keep(std::size_t max_keys) const {
+Snapshot Engine::ExportSnapshot(std::size_t max_keys) const {
   Snapshot s;
   s.list.rev = directory_.held().value_or(-1);
   s.suspended = directory_.suspended();
@@ -599,7 +599,7 @@
   return s;
 }
 
-void Engine::Recall(Snapshot snapshot, double confidence) {
+void Engine::RestoreSnapshot(Snapshot snapshot, double confidence) {
   pending_snapshot_ = std::move(snapshot);
   snapshot_confidence_ = confidence;
   // The snapshot is applied to the list that is already loaded. In a large fleet the first call to
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -95,11 +95,11 @@
   Census Count() const;
 
   // The state to preserve over a restart. Does not fill in the router's name and the time.
-  Snapshot Keep(std::size_t max_keys) const;
+  Snapshot ExportSnapshot(std::size_t max_keys) const;
   // Restores what an earlier process had learnt, for the servers that the list names with the same start
   // time. It is applied at once, or with the first list if there is none yet. `confidence`: how far it is
   // trusted, 0 to 1, which depends on its age.
-  void Recall(Snapshot snapshot, double confidence);
+  void RestoreSnapshot(Snapshot snapshot, double confidence);
 
   bool ready() const { return ready_; }
   // Whether this process has received a list from discovery.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -104,7 +104,7 @@
   if (snapshot) {
     const double confidence =
         Faith(loop.Now() - snapshot->taken, keeper->settings().half, keeper->settings().most);
-    if (confidence > 0) engine.Recall(std::move(*snapshot), confidence);
+    if (confidence > 0) engine.RestoreSnapshot(std::move(*snapshot), confidence);
   }
   if (keeper) keeper->Begin();
   // SIGHUP applies a new configuration without a restart: open requests and the listener are not affected.
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -139,7 +139,7 @@
 
 void Keeper::Take() {
   if (!engine_.confirmed()) return;
-  auto snapshot = std::make_shared<Snapshot>(engine_.Keep(settings_.keys));
+  auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.keys));
   snapshot->router = router_;
   snapshot->taken = now_();
   // Encoding is done on the disk thread too.
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -329,7 +329,7 @@
   CHECK(w.engine->FindServer(asked)->availability == Availability::kDraining);
   CHECK(w.engine->FindServer(1 - asked)->endpoint == "127.0.0.1:1");
   CHECK(w.engine->FindServer(2) == nullptr);
-  CHECK(w.engine->Keep(0).list.rev != 9);
+  CHECK(w.engine->ExportSnapshot(0).list.rev != 9);
   ServerList back;  // the complete answer lists it in service again
   back.rev = 10;
   back.all = false;
