--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -171,7 +171,7 @@
   }
   metrics.upstream_tries = counters_.upstream_tries;
   metrics.in_progress = engine_.open_requests();
-  const Engine::Census census = engine_.Count();
+  const Engine::ServerCounts census = engine_.CountServers();
   metrics.known_cache_servers = census.known;
   metrics.skipped_cache_servers = census.skipped;
   return FormatMetrics(metrics);
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -661,8 +661,8 @@
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
 
-Engine::Census Engine::Count() const {
-  Census c;
+Engine::ServerCounts Engine::CountServers() const {
+  ServerCounts c;
   for (ServerId id = 0; id < directory_.size(); ++id) {
     const Server& server = directory_.At(id);
     if (server.uid.empty() || server.origin || server.availability == Availability::kRemoved) continue;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -89,10 +89,10 @@
 
   // The number of cache servers in the list (in service or terminating), and of those that are suspended by
   // an operator or avoided by the module.
-  struct Census {
+  struct ServerCounts {
     std::size_t known = 0, skipped = 0;
   };
-  Census Count() const;
+  ServerCounts CountServers() const;
 
   // The state to preserve over a restart. Does not fill in the router's name and the time.
   Snapshot ExportSnapshot(std::size_t max_keys) const;
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -438,8 +438,8 @@
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   for (std::uint64_t t = 1; t <= 6; ++t) w.Take(t);  // all are sent to the other server
   for (const auto& [attempt, to] : w.ends.attempts) CHECK(to == 1);
-  CHECK(w.engine->Count().known == 2);
-  CHECK(w.engine->Count().skipped == 1);
+  CHECK(w.engine->CountServers().known == 2);
+  CHECK(w.engine->CountServers().skipped == 1);
   const Time resumed = w.now;
   REQUIRE(w.engine->Resume("s1"));  // one resume undoes both
   // Guards against requests that reach the server before the operator receives the confirmation.
@@ -451,7 +451,7 @@
   CHECK(w.engine->FindServer(0)->started >= resumed);  // operators restart it meanwhile: it is cold
   w.Receive(again);                                    // a list with the old boot time leaves it cold
   CHECK(w.engine->FindServer(0)->started >= resumed);
-  CHECK(w.engine->Count().skipped == 0);
+  CHECK(w.engine->CountServers().skipped == 0);
   CHECK(w.engine->suspended().empty());
 }
 
