--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -346,7 +346,7 @@
   RemoveIfDone(attempt.request);
 }
 
-bool Engine::AttemptOpened(AttemptId id, std::size_t length) {
+bool Engine::StreamStarted(AttemptId id, std::size_t length) {
   Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr || attempt->request == 0) return false;
   Request* request = requests_.Find(attempt->request);
@@ -369,7 +369,7 @@
   });
 }
 
-void Engine::AttemptPiece(AttemptId id, std::string_view bytes) {
+void Engine::StreamChunk(AttemptId id, std::string_view bytes) {
   Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr) return;
   const Request* request = requests_.Find(attempt->request);
@@ -444,7 +444,7 @@
 
 // Guards against a loop where the request of a client that has gone is retried on another server at once
 // and held back again.
-void Engine::HeldBack(AttemptId id, SendVerdict why) {
+void Engine::AttemptHeldBack(AttemptId id, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
@@ -460,7 +460,7 @@
 
 // Checks the rules on sending after the fact: the bytes were sent one event loop iteration after the guard
 // allowed them, and the process may have been delayed in between.
-void Engine::AttemptLeft(AttemptId id) {
+void Engine::AttemptSent(AttemptId id) {
   ++counters_.upstream_tries;
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -53,20 +53,20 @@
   // this attempt, and the module is notified of the first byte. Returns false if the value is not needed
   // (the request has ended, or another of its attempts is streaming a value): the back end then aborts the
   // attempt.
-  bool AttemptOpened(AttemptId attempt, std::size_t length);
+  bool StreamStarted(AttemptId attempt, std::size_t length);
   // A chunk of the value. An empty chunk means that the client is still reading earlier chunks, so that the
   // pause does not count as the server being unresponsive.
-  void AttemptPiece(AttemptId attempt, std::string_view bytes);
+  void StreamChunk(AttemptId attempt, std::string_view bytes);
   // Bytes buffered for the client of this attempt's request; 0 if there is no such request.
   std::size_t Backlog(AttemptId attempt) const;
   const Server* FindServer(ServerId id) const;
   // Whether the first byte of this attempt may be sent now on a connection to `endpoint`. The attempt was
   // approved when it was created, but a connection had to be established since. If it may not be sent, the
-  // back end ends it as never sent, by calling HeldBack.
+  // back end ends it as never sent, by calling AttemptHeldBack.
   SendVerdict JudgeFirstByte(AttemptId id, const std::string& endpoint) const;
-  void HeldBack(AttemptId id, SendVerdict why);
+  void AttemptHeldBack(AttemptId id, SendVerdict why);
   // The attempt's last byte was sent.
-  void AttemptLeft(AttemptId id);
+  void AttemptSent(AttemptId id);
 
   // Called by the discovery client. The directory orders the updates (discovery/server_directory.h).
   // `old`: the list was saved so long ago that servers in it may have been replaced.
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -143,7 +143,7 @@
     // The connection itself is usable.
     const AttemptId attempt = connection.operation.attempt;
     MakeIdle(connection);
-    return engine_.HeldBack(attempt, verdict);
+    return engine_.AttemptHeldBack(attempt, verdict);
   }
   const std::string text = Format(connection.operation, *server, connection.operation.until - loop_.Now());
   connection.written = true;
@@ -166,7 +166,7 @@
   loop_.deadlines().Drop(connection.send_deadline);
   if (!connection.written || connection.sent_reported || !connection.operation.request) return;
   connection.sent_reported = true;
-  engine_.AttemptLeft(connection.operation.attempt);
+  engine_.AttemptSent(connection.operation.attempt);
 }
 
 void AttemptPool::OnEvent(Connection& connection, short what) {
@@ -268,7 +268,7 @@
   connection.keep = keep;
   connection.streamed_end = std::move(head);
   const AttemptId attempt = connection.operation.attempt;
-  if (!engine_.AttemptOpened(attempt, static_cast<std::size_t>(*length))) {
+  if (!engine_.StreamStarted(attempt, static_cast<std::size_t>(*length))) {
     if (busy_.contains(attempt)) CloseWithResult(connection, Result::kCancelled);
     return true;
   }
@@ -288,7 +288,7 @@
     piece.resize(n);
     evbuffer_remove(in, piece.data(), n);
     connection.value_left -= n;
-    engine_.AttemptPiece(attempt, piece);
+    engine_.StreamChunk(attempt, piece);
     if (!busy_.contains(attempt)) return;  // abandoned meanwhile, and its connection closed
   }
   if (connection.value_left > 0 || evbuffer_get_length(in) < connection.trailer) return;
@@ -328,7 +328,7 @@
   connection.deadline =
       loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, it = connection.self] {
         it->deadline = {};
-        engine_.AttemptPiece(it->operation.attempt, {});
+        engine_.StreamChunk(it->operation.attempt, {});
         if (engine_.Backlog(it->operation.attempt) > limits_.stream_window / 2)
           return PauseForBackpressure(*it);
         bufferevent_enable(it->buffer.get(), EV_READ);
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -345,7 +345,7 @@
   CHECK(w.MaySendFirstByte(attempt, "127.0.0.1:1"));
   w.ends.gone.insert(1);
   CHECK(w.engine->JudgeFirstByte(attempt, "127.0.0.1:1") == SendVerdict::kClientGone);
-  w.engine->HeldBack(attempt, SendVerdict::kClientGone);
+  w.engine->AttemptHeldBack(attempt, SendVerdict::kClientGone);
   CHECK(w.engine->open_requests() == 0);
   CHECK(w.ends.attempts.size() == 1);  // and is not retried elsewhere
 }
@@ -384,7 +384,7 @@
     w.Take(1);
     const AttemptId attempt = w.ends.attempts.back().first;
     c.before(w, attempt);
-    w.engine->AttemptLeft(attempt);
+    w.engine->AttemptSent(attempt);
     const Invariants& counted = w.counters.invariants;
     CHECK((counted.violations() == 0) == (c.broken == Invariant::kCount));
     if (c.broken != Invariant::kCount) CHECK(counted.violations(c.broken) == 1);
@@ -498,10 +498,10 @@
   w.Take(1);
   REQUIRE(w.ends.attempts.size() == 1);
   const AttemptId attempt = w.ends.attempts[0].first;
-  REQUIRE(w.engine->AttemptOpened(attempt, 1 << 20));
+  REQUIRE(w.engine->StreamStarted(attempt, 1 << 20));
   CHECK(w.ends.opened[1] == 1u << 20);
-  CHECK_FALSE(w.engine->AttemptOpened(attempt, 5));  // only once
-  w.engine->AttemptPiece(attempt, "abc");
+  CHECK_FALSE(w.engine->StreamStarted(attempt, 5));  // only once
+  w.engine->StreamChunk(attempt, "abc");
   CHECK(w.ends.pieces[1] == "abc");
   CHECK(w.engine->Backlog(attempt) == 1);
   w.engine->AttemptEnded(attempt, {Result::kReset, {}, {}, {}});  // the server closed the connection
@@ -509,7 +509,7 @@
   CHECK(w.ends.attempts.size() == 1);  // no retry: part of the value was already sent
   w.Take(2);
   const AttemptId second = w.ends.attempts.back().first;
-  REQUIRE(w.engine->AttemptOpened(second, 100000));
+  REQUIRE(w.engine->StreamStarted(second, 100000));
   w.engine->AttemptEnded(second, {Result::kOk, {}, {}, {}, true});
   CHECK(w.ends.answers[2] == std::vector{AnswerKind::kValue});
 }
@@ -519,10 +519,10 @@
   w.limits.stream_stall = 300ms;
   w.Take(1);
   const AttemptId attempt = w.ends.attempts[0].first;
-  REQUIRE(w.engine->AttemptOpened(attempt, 1 << 20));
+  REQUIRE(w.engine->StreamStarted(attempt, 1 << 20));
   for (int i = 0; i < 10; ++i) {  // 2 s of chunks, past the request's 900 ms
     w.AdvanceTo(w.now + 200ms);
-    w.engine->AttemptPiece(attempt, "x");
+    w.engine->StreamChunk(attempt, "x");
   }
   CHECK(w.ends.answers[1].empty());
   w.AdvanceTo(w.now + 350ms);  // then silence
