--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -81,7 +81,7 @@
  public:
   virtual ~Back() = default;
   // `until`: an answer after this is useless. `sent_by`: if its last byte cannot be sent before this, the
-  // attempt ends as never sent. Before the first byte the back end asks Engine::JudgeFirstByte, because the
+  // attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte, because the
   // state may have changed by then.
   virtual void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
                      Time until, Time sent_by) = 0;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -428,7 +428,7 @@
   return id < directory_.size() ? &directory_.At(id) : nullptr;
 }
 
-SendVerdict Engine::JudgeFirstByte(AttemptId id, const std::string& endpoint) const {
+SendVerdict Engine::EvaluateFirstByte(AttemptId id, const std::string& endpoint) const {
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
   SendFacts facts;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -63,7 +63,7 @@
   // Whether the first byte of this attempt may be sent now on a connection to `endpoint`. The attempt was
   // approved when it was created, but a connection had to be established since. If it may not be sent, the
   // back end ends it as never sent, by calling AttemptHeldBack.
-  SendVerdict JudgeFirstByte(AttemptId id, const std::string& endpoint) const;
+  SendVerdict EvaluateFirstByte(AttemptId id, const std::string& endpoint) const;
   void AttemptHeldBack(AttemptId id, SendVerdict why);
   // The attempt's last byte was sent.
   void AttemptSent(AttemptId id);
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -137,7 +137,7 @@
   const Server* server = engine_.FindServer(connection.server);
   const SendVerdict verdict =
       connection.operation.request
-          ? engine_.JudgeFirstByte(connection.operation.attempt, connection.endpoint)
+          ? engine_.EvaluateFirstByte(connection.operation.attempt, connection.endpoint)
           : SendVerdict::kAllowed;
   if (verdict != SendVerdict::kAllowed) {
     // The connection itself is usable.
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -149,7 +149,7 @@
     engine->ListReceived(list, Origin());
   }
   bool MaySendFirstByte(AttemptId attempt, const std::string& endpoint) const {
-    return engine->JudgeFirstByte(attempt, endpoint) == SendVerdict::kAllowed;
+    return engine->EvaluateFirstByte(attempt, endpoint) == SendVerdict::kAllowed;
   }
   RequestId Take(std::uint64_t ticket, int request_class = 0, const std::string& key = "k") {
     NewRequest request;
@@ -344,7 +344,7 @@
   const AttemptId attempt = w.ends.attempts.back().first;
   CHECK(w.MaySendFirstByte(attempt, "127.0.0.1:1"));
   w.ends.gone.insert(1);
-  CHECK(w.engine->JudgeFirstByte(attempt, "127.0.0.1:1") == SendVerdict::kClientGone);
+  CHECK(w.engine->EvaluateFirstByte(attempt, "127.0.0.1:1") == SendVerdict::kClientGone);
   w.engine->AttemptHeldBack(attempt, SendVerdict::kClientGone);
   CHECK(w.engine->open_requests() == 0);
   CHECK(w.ends.attempts.size() == 1);  // and is not retried elsewhere
