--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -63,7 +63,7 @@
   // Whether this ticket's client is still connected, as far as its connection shows.
   virtual bool Present(std::uint64_t ticket) const = 0;
   // Bytes of answers that are buffered for this ticket's client; each chunk adds to them.
-  virtual std::size_t Backlog(std::uint64_t ticket) const = 0;
+  virtual std::size_t BufferedBytes(std::uint64_t ticket) const = 0;
 };
 
 // The result of an attempt: the reply in the decision module's terms, and its value or receipt.
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -378,10 +378,10 @@
   if (!bytes.empty()) request->front->Piece(request->ticket, bytes);
 }
 
-std::size_t Engine::Backlog(AttemptId id) const {
+std::size_t Engine::BufferedBytes(AttemptId id) const {
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
-  return request == nullptr || request->ended ? 0 : request->front->Backlog(request->ticket);
+  return request == nullptr || request->ended ? 0 : request->front->BufferedBytes(request->ticket);
 }
 
 // ---- The module's other actions ----
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -58,7 +58,7 @@
   // pause does not count as the server being unresponsive.
   void StreamChunk(AttemptId attempt, std::string_view bytes);
   // Bytes buffered for the client of this attempt's request; 0 if there is no such request.
-  std::size_t Backlog(AttemptId attempt) const;
+  std::size_t BufferedBytes(AttemptId attempt) const;
   const Server* FindServer(ServerId id) const;
   // Whether the first byte of this attempt may be sent now on a connection to `endpoint`. The attempt was
   // approved when it was created, but a connection had to be established since. If it may not be sent, the
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -282,7 +282,7 @@
   evbuffer* in = bufferevent_get_input(connection.buffer.get());
   std::string piece;
   while (connection.value_left > 0 && evbuffer_get_length(in) > 0) {
-    if (engine_.Backlog(attempt) > limits_.stream_window) return PauseForBackpressure(connection);
+    if (engine_.BufferedBytes(attempt) > limits_.stream_window) return PauseForBackpressure(connection);
     const auto n = static_cast<std::size_t>(
         std::min<std::uint64_t>({connection.value_left, evbuffer_get_length(in), kPiece}));
     piece.resize(n);
@@ -329,7 +329,7 @@
       loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, it = connection.self] {
         it->deadline = {};
         engine_.StreamChunk(it->operation.attempt, {});
-        if (engine_.Backlog(it->operation.attempt) > limits_.stream_window / 2)
+        if (engine_.BufferedBytes(it->operation.attempt) > limits_.stream_window / 2)
           return PauseForBackpressure(*it);
         bufferevent_enable(it->buffer.get(), EV_READ);
         StreamValue(*it);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -367,7 +367,7 @@
   return found != nullptr && !PeerClosed(bufferevent_getfd((*found)->buffer.get()));
 }
 
-std::size_t ClientFront::Backlog(std::uint64_t ticket) const {
+std::size_t ClientFront::BufferedBytes(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   if (to == nullptr) return 0;
   const auto* found = clients_.Find(to->client);
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -31,7 +31,7 @@
   void Open(std::uint64_t ticket, std::size_t length) override;
   void Piece(std::uint64_t ticket, std::string_view bytes) override;
   bool Present(std::uint64_t ticket) const override;
-  std::size_t Backlog(std::uint64_t ticket) const override;
+  std::size_t BufferedBytes(std::uint64_t ticket) const override;
 
   // Begins the graceful shutdown (core/shutdown.h): each connection closes when it becomes idle, the
   // listener closes at the last moment for new work, and `done` is called once nothing is left to answer or
