--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -45,7 +45,7 @@
   // number of requests failed.
   std::size_t FailAll();
   // Whether there is a request with this id whose answer is pending or that has an attempt in flight.
-  bool Holds(const std::string& id) const { return request_ids_.contains(id); }
+  bool HasRequest(const std::string& id) const { return request_ids_.contains(id); }
 
   // Called by back ends. An id that has already ended is ignored.
   void AttemptEnded(AttemptId attempt, AttemptEnd end);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -267,7 +267,7 @@
   request.arrived = ArrivalTime(client);
   // Guards against two open requests with the same id: servers' answers are matched by it, and the first
   // request, possibly of another client, must not be affected.
-  if (error.empty() && engine_.Holds(request.content->id)) error = "this id is in use";
+  if (error.empty() && engine_.HasRequest(request.content->id)) error = "this id is in use";
   if (!error.empty()) {
     ++counters_.bad_commands;
     return Reply(client, "CLIENT_ERROR " + error + "\r\n");
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -262,12 +262,12 @@
 TEST_CASE("a request's id is in use while the request is open, and free afterwards") {
   Fixture w;
   w.Take(7);
-  CHECK(w.engine->Holds("i"));
+  CHECK(w.engine->HasRequest("i"));
   w.engine->AttemptEnded(w.ends.attempts[0].first, {Result::kOk, {}, {}, "v"});
-  CHECK_FALSE(w.engine->Holds("i"));
+  CHECK_FALSE(w.engine->HasRequest("i"));
   const RequestId request = w.Take(8);
   w.engine->ClientGone(request);
-  CHECK_FALSE(w.engine->Holds("i"));
+  CHECK_FALSE(w.engine->HasRequest("i"));
 }
 
 // Guards against tables that only grow while servers are replaced all day.
