--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -526,7 +526,7 @@
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
 
-void Engine::ListRefused() { ++counters_.lists_refused; }
+void Engine::ListCallFailed() { ++counters_.lists_refused; }
 
 void Engine::LogVerdict(const DirectoryUpdate& update, const ServerList& list,
                         const ListOrigin& origin) const {
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -75,7 +75,7 @@
   // Entries of an answer that is incomplete, or not complete yet.
   void PartialListReceived(const ServerList& part, const ListOrigin& origin);
   // A call to discovery failed. It is only counted: discovery/list_refresher.h schedules the next call.
-  void ListRefused();
+  void ListCallFailed();
   const ServerDirectory& directory() const { return directory_; }
 
   // Called for operators. A suspended server is reported to the module as draining, whatever discovery
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -304,7 +304,7 @@
   ++counters_.ended[static_cast<std::size_t>(why)];
   calls_.erase(id);
   LogFailure(id, source, detail.empty() ? NameOf(why) : detail);
-  engine_.ListRefused();
+  engine_.ListCallFailed();
   ListActions actions;
   refresher_.Failed(loop_.Now(), id, why, actions);
   ExecuteActions(actions);
