--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -50,18 +50,18 @@
 // the engine. It must not call the engine from inside these functions, because the engine is modifying its
 // tables at that point.
 //
-// A large value is streamed: Open with its length, then Piece for each chunk, then Deliver. Deliver with
+// A large value is streamed: StartStream with its length, then SendChunk for each chunk, then Deliver. Deliver with
 // kValue completes it (its body is empty, because the value was sent in chunks). Any other answer after
-// Open means that the value cannot be completed: the front end must make that visible to its client, by
+// StartStream means that the value cannot be completed: the front end must make that visible to its client, by
 // closing the connection once the chunks received so far are sent, and must not send a second answer.
 class Front {
  public:
   virtual ~Front() = default;
   virtual void Deliver(std::uint64_t ticket, const Answer& answer) = 0;
-  virtual void Open(std::uint64_t ticket, std::size_t length) = 0;
-  virtual void Piece(std::uint64_t ticket, std::string_view bytes) = 0;
+  virtual void StartStream(std::uint64_t ticket, std::size_t length) = 0;
+  virtual void SendChunk(std::uint64_t ticket, std::string_view bytes) = 0;
   // Whether this ticket's client is still connected, as far as its connection shows.
-  virtual bool Present(std::uint64_t ticket) const = 0;
+  virtual bool IsConnected(std::uint64_t ticket) const = 0;
   // Bytes of answers that are buffered for this ticket's client; each chunk adds to them.
   virtual std::size_t BufferedBytes(std::uint64_t ticket) const = 0;
 };
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -353,7 +353,7 @@
   if (request == nullptr || request->ended || request->streaming != 0) return false;
   request->streaming = id;
   RestartStallTimer(*attempt, id);
-  request->front->Open(request->ticket, length);
+  request->front->StartStream(request->ticket, length);
   Push(beechledge::FirstByte{attempt->request, attempt->server, attempt->number, now_() - attempt->sent});
   return true;
 }
@@ -375,7 +375,7 @@
   const Request* request = requests_.Find(attempt->request);
   if (request == nullptr || request->ended || request->streaming != id) return;
   RestartStallTimer(*attempt, id);
-  if (!bytes.empty()) request->front->Piece(request->ticket, bytes);
+  if (!bytes.empty()) request->front->SendChunk(request->ticket, bytes);
 }
 
 std::size_t Engine::BufferedBytes(AttemptId id) const {
@@ -434,7 +434,7 @@
   SendFacts facts;
   facts.request_open = request != nullptr && !request->ended;
   if (!facts.request_open) return EvaluateSend(facts);
-  facts.client_present = request->front->Present(request->ticket);
+  facts.client_present = request->front->IsConnected(request->ticket);
   facts.now = now_();
   facts.send_by = attempt->sent_by;
   facts.server_serving = directory_.Serving(attempt->server, facts.now, settings_.rules.drain_grace / 2);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -337,7 +337,7 @@
   Flush(*client);
 }
 
-void ClientFront::Open(std::uint64_t ticket, std::size_t length) {
+void ClientFront::StartStream(std::uint64_t ticket, std::size_t length) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || pending->streaming || pending->answered) return;
@@ -352,7 +352,7 @@
   Flush(*client);
 }
 
-void ClientFront::Piece(std::uint64_t ticket, std::string_view bytes) {
+void ClientFront::SendChunk(std::uint64_t ticket, std::string_view bytes) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || !pending->streaming || pending->answered) return;
@@ -361,7 +361,7 @@
   Flush(*client);
 }
 
-bool ClientFront::Present(std::uint64_t ticket) const {
+bool ClientFront::IsConnected(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   const auto* found = to == nullptr ? nullptr : clients_.Find(to->client);
   return found != nullptr && !PeerClosed(bufferevent_getfd((*found)->buffer.get()));
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -28,9 +28,9 @@
   ~ClientFront() override;
 
   void Deliver(std::uint64_t ticket, const Answer& answer) override;
-  void Open(std::uint64_t ticket, std::size_t length) override;
-  void Piece(std::uint64_t ticket, std::string_view bytes) override;
-  bool Present(std::uint64_t ticket) const override;
+  void StartStream(std::uint64_t ticket, std::size_t length) override;
+  void SendChunk(std::uint64_t ticket, std::string_view bytes) override;
+  bool IsConnected(std::uint64_t ticket) const override;
   std::size_t BufferedBytes(std::uint64_t ticket) const override;
 
   // Begins the graceful shutdown (core/shutdown.h): each connection closes when it becomes idle, the
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -75,9 +75,9 @@
   void Deliver(std::uint64_t ticket, const Answer& answer) override {
     answers[ticket].push_back(answer.kind);
   }
-  void Open(std::uint64_t ticket, std::size_t length) override { opened[ticket] = length; }
-  void Piece(std::uint64_t ticket, std::string_view bytes) override { pieces[ticket].append(bytes); }
-  bool Present(std::uint64_t ticket) const override { return !gone.contains(ticket); }
+  void StartStream(std::uint64_t ticket, std::size_t length) override { opened[ticket] = length; }
+  void SendChunk(std::uint64_t ticket, std::string_view bytes) override { pieces[ticket].append(bytes); }
+  bool IsConnected(std::uint64_t ticket) const override { return !gone.contains(ticket); }
   std::size_t BufferedBytes(std::uint64_t ticket) const override { return pieces.contains(ticket) ? 1 : 0; }
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent>, Time,
              Time by) override {
