--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -54,9 +54,9 @@
 // kValue completes it (its body is empty, because the value was sent in chunks). Any other answer after
 // StartStream means that the value cannot be completed: the front end must make that visible to its client, by
 // closing the connection once the chunks received so far are sent, and must not send a second answer.
-class Front {
+class FrontEnd {
  public:
-  virtual ~Front() = default;
+  virtual ~FrontEnd() = default;
   virtual void Deliver(std::uint64_t ticket, const Answer& answer) = 0;
   virtual void StartStream(std::uint64_t ticket, std::size_t length) = 0;
   virtual void SendChunk(std::uint64_t ticket, std::string_view bytes) = 0;
@@ -77,9 +77,9 @@
 
 // A back end: sends attempts and probes to servers and reports the result of each to the engine exactly
 // once, unless it was abandoned.
-class Back {
+class BackEnd {
  public:
-  virtual ~Back() = default;
+  virtual ~BackEnd() = default;
   // `until`: an answer after this is useless. `sent_by`: if its last byte cannot be sent before this, the
   // attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte, because the
   // state may have changed by then.
@@ -95,11 +95,11 @@
 };
 
 // The discovery client, as the engine uses it.
-class Watch {
+class DiscoverySource {
  public:
-  virtual ~Watch() = default;
-  virtual void Follow(bool on) = 0;
-  virtual void FetchAll() = 0;
+  virtual ~DiscoverySource() = default;
+  virtual void SetWatching(bool on) = 0;
+  virtual void RequestWholeList() = 0;
 };
 
 }  // namespace brasswood
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-void Engine::Attach(Back& cache_servers, Back& origin, Watch& watch) {
+void Engine::Attach(BackEnd& cache_servers, BackEnd& origin, DiscoverySource& watch) {
   cache_servers_ = &cache_servers;
   origin_ = &origin;
   watch_ = &watch;
@@ -110,7 +110,7 @@
 
 // ---- Requests ----
 
-RequestId Engine::AcceptRequest(Front& front, std::uint64_t ticket, NewRequest request) {
+RequestId Engine::AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request) {
   if (requests_.size() >= limits_.requests) {
     ++counters_.turned_away;
     CountClass(request.request_class, AnswerKind::kRefused);  // the front end refuses it
@@ -405,8 +405,8 @@
 void Engine::Execute(const beechledge::SetTimer& a) {
   deadlines_.Set(a.at, [this, token = a.token] { Push(beechledge::TimerFired{token}); });
 }
-void Engine::Execute(const beechledge::Subscribe& a) { watch_->Follow(a.on); }
-void Engine::Execute(const beechledge::FetchList&) { watch_->FetchAll(); }
+void Engine::Execute(const beechledge::Subscribe& a) { watch_->SetWatching(a.on); }
+void Engine::Execute(const beechledge::FetchList&) { watch_->RequestWholeList(); }
 void Engine::Execute(const beechledge::Probe& a) {
   if (!settings_.allowed.probes || a.server >= directory_.size()) return;
   const AttemptId id = attempts_.Add({0, a.server, 0, now_(), {}, {}});
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -35,11 +35,11 @@
          std::function<Time()> now, Deadlines& deadlines, Counters& counters);
 
   // The front ends, back ends and discovery client must outlive the engine's last event.
-  void Attach(Back& cache_servers, Back& origin, Watch& watch);
+  void Attach(BackEnd& cache_servers, BackEnd& origin, DiscoverySource& watch);
 
   // Called by front ends. Take returns 0 if the table of requests is full. The request's answer may be
   // delivered before Take returns.
-  RequestId AcceptRequest(Front& front, std::uint64_t ticket, NewRequest request);
+  RequestId AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request);
   void ClientGone(RequestId request);
   // Fails all open requests and aborts their attempts, because the process is about to exit. Returns the
   // number of requests failed.
@@ -108,7 +108,7 @@
 
  private:
   struct Request {
-    Front* front = nullptr;
+    FrontEnd* front = nullptr;
     std::uint64_t ticket = 0;
     int request_class = -1;
     std::shared_ptr<const RequestContent> content;
@@ -155,7 +155,7 @@
   void AnswerRequest(Request& request, const Answer& answer);
   void RemoveIfDone(RequestId id);
   void ForgetRemovedServers();
-  Back& BackEndOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : cache_servers_); }
+  BackEnd& BackEndOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : cache_servers_); }
   // Acts on the changes that the directory reports and passes them to the module.
   void Apply(const DirectoryUpdate& update, beechledge::ListKind kind, bool old = false);
   beechledge::ServerEntry EntryFor(ServerId id) const;
@@ -174,9 +174,9 @@
   std::function<Time()> now_;
   Deadlines& deadlines_;
   Counters& counters_;
-  Back* cache_servers_ = nullptr;
-  Back* origin_ = nullptr;
-  Watch* watch_ = nullptr;
+  BackEnd* cache_servers_ = nullptr;
+  BackEnd* origin_ = nullptr;
+  DiscoverySource* watch_ = nullptr;
 
   Slots<Request> requests_;
   Slots<Attempt> attempts_;
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -26,7 +26,7 @@
   std::vector<AttemptPool*> pools;
 };
 
-class AttemptPool : public Back {
+class AttemptPool : public BackEnd {
  public:
   AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters, ConnBudget& budget);
   ~AttemptPool() override;
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -20,7 +20,7 @@
 
 namespace brasswood {
 
-class ClientFront : public Front {
+class ClientFront : public FrontEnd {
  public:
   // Starts to listen on `address`; throws if that fails.
   ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names, Counters& counters,
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -67,14 +67,14 @@
                  VersionHeld(known), static_cast<std::uint64_t>(phase * 1e9)) {}
 
 // Like all calls of the engine to its back ends, these must not call the engine back before they return.
-void DiscoveryWatch::Follow(bool on) {
+void DiscoveryWatch::SetWatching(bool on) {
   if (!on) return;
   ListActions actions;
   refresher_.Follow(loop_.Now(), actions);
   ExecuteActions(actions);
 }
 
-void DiscoveryWatch::FetchAll() {
+void DiscoveryWatch::RequestWholeList() {
   ListActions actions;
   refresher_.AskWhole(loop_.Now(), actions);
   ExecuteActions(actions);
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -32,7 +32,7 @@
   std::array<std::uint64_t, static_cast<std::size_t>(CallEnd::kCount)> ended{};
 };
 
-class DiscoveryWatch : public Watch {
+class DiscoveryWatch : public DiscoverySource {
  public:
   // `known`: the version of the list held at the start; negative if there is none. `phase`: from 0 to 1,
   // different for each router, so that the watches of a fleet that become unresponsive or break at the same
@@ -45,8 +45,8 @@
   // not answered before something changes.
   void AskFirst() { refresher_.AskFirst(); }
 
-  void Follow(bool on) override;
-  void FetchAll() override;
+  void SetWatching(bool on) override;
+  void RequestWholeList() override;
 
   // Moves to the discovery at this address, where the whole list is requested first. Until that list
   // arrives, answers of the old address still count.
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -71,7 +71,7 @@
 
 namespace {
 
-struct FakeEnds : Front, Back, Watch {
+struct FakeEnds : FrontEnd, BackEnd, DiscoverySource {
   void Deliver(std::uint64_t ticket, const Answer& answer) override {
     answers[ticket].push_back(answer.kind);
   }
@@ -92,8 +92,8 @@
   }
   void CloseIdle(ServerId) override {}
   void Forget(ServerId server) override { forgotten.push_back(server); }
-  void Follow(bool) override {}
-  void FetchAll() override {}
+  void SetWatching(bool) override {}
+  void RequestWholeList() override {}
 
   Engine* engine = nullptr;
   std::set<std::uint64_t> gone;
