--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -160,8 +160,8 @@
     return {in_service[n]->endpoint, in_service[(n + 1) % in_service.size()]->endpoint};
   }
 
-  AttemptEnd ReadCacheAnswer(Socket& s, const RequestContent& request) {
-    AttemptEnd end;
+  AttemptResult ReadCacheAnswer(Socket& s, const RequestContent& request) {
+    AttemptResult end;
     if (!s.Read([&](std::string_view in, std::size_t& used) {
           return ParseAttemptReply(in, request, config_.limits, used, end);
         })) {
@@ -170,9 +170,9 @@
     return end;
   }
 
-  AttemptEnd AskOrigin(const RequestContent& request) {
+  AttemptResult AskOrigin(const RequestContent& request) {
     Socket s(-1);
-    AttemptEnd end;
+    AttemptResult end;
     end.result = Result::kReset;
     const std::string origin = Origin();
     if (!s.Connect(origin)) return end;
@@ -187,7 +187,7 @@
   }
 
   Answer Execute(const RequestContent& request) {
-    AttemptEnd end;
+    AttemptResult end;
     end.result = Result::kMiss;
     if (!request.write) {
       const std::vector<std::string> servers = CacheServersFor(request.key);
--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -67,7 +67,7 @@
 };
 
 // The result of an attempt: the reply in the decision module's terms, and its value or receipt.
-struct AttemptEnd {
+struct AttemptResult {
   beechledge::Result result = beechledge::Result::kError;
   beechledge::Note note = beechledge::Note::kNone;
   std::optional<beechledge::LoadReport> report;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -286,19 +286,19 @@
   const Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr) return;
   const bool sent_completely = BackEndOf(attempt->server).Abandon(id);
-  AttemptEnd end;
+  AttemptResult end;
   // An attempt that was not sent completely cannot have run. For a write that decides between a retry and a
   // failure.
   end.result = why == Result::kTimeout && !sent_completely ? Result::kConnectFailed : why;
   FinishAttempt(id, std::move(end));
 }
 
-void Engine::AttemptEnded(AttemptId id, AttemptEnd end) {
+void Engine::AttemptEnded(AttemptId id, AttemptResult end) {
   FinishAttempt(id, std::move(end));
   Pump();
 }
 
-void Engine::FinishAttempt(AttemptId id, AttemptEnd end) {
+void Engine::FinishAttempt(AttemptId id, AttemptResult end) {
   Attempt* found = attempts_.Find(id);
   if (found == nullptr) return;
   Attempt attempt = *found;
@@ -453,7 +453,7 @@
                            << " held back: " << kSendVerdictNames[static_cast<std::size_t>(why)];
     if (why == SendVerdict::kClientGone) ClientGone(attempt->request);
   }
-  AttemptEnd end;
+  AttemptResult end;
   end.result = Result::kMoot;
   AttemptEnded(id, std::move(end));
 }
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -48,7 +48,7 @@
   bool HasRequest(const std::string& id) const { return request_ids_.contains(id); }
 
   // Called by back ends. An id that has already ended is ignored.
-  void AttemptEnded(AttemptId attempt, AttemptEnd end);
+  void AttemptEnded(AttemptId attempt, AttemptResult end);
   // The attempt's answer is a large value that is streamed in chunks. From now on the request is bound to
   // this attempt, and the module is notified of the first byte. Returns false if the value is not needed
   // (the request has ended, or another of its attempts is streaming a value): the back end then aborts the
@@ -151,7 +151,7 @@
   void MarkEnded(Request& request);
   void AbortAttempt(AttemptId id, beechledge::Result why);
   void RestartStallTimer(Attempt& attempt, AttemptId id);
-  void FinishAttempt(AttemptId id, AttemptEnd end);
+  void FinishAttempt(AttemptId id, AttemptResult end);
   void AnswerRequest(Request& request, const Answer& answer);
   void RemoveIfDone(RequestId id);
   void ForgetRemovedServers();
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -51,7 +51,7 @@
   }
   if (server == nullptr || !EnsureCapacity()) {
     // No connection may be opened: a shortage of this router, not a fault of the server. Nothing was sent.
-    AttemptEnd end;
+    AttemptResult end;
     end.result = Result::kMoot;
     return engine_.AttemptEnded(attempt, std::move(end));
   }
@@ -226,7 +226,7 @@
 // closed.
 Parsed AttemptPool::HandleAnswer(Connection& connection, InputEnd input) {
   std::size_t used = 0;
-  AttemptEnd end;
+  AttemptResult end;
   bool keep = true;
   const Parsed got = Parse(Gathered(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
@@ -255,7 +255,7 @@
   const std::string_view front(
       reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(head_size))), head_size);
   std::size_t used = 0, trailer = 0;
-  AttemptEnd head;
+  AttemptResult head;
   std::optional<std::uint64_t> length;
   bool keep = true;
   const Parsed got = ParseHead(front, connection.operation, used, head, length, trailer, keep);
@@ -305,7 +305,7 @@
 
 void AttemptPool::FinishStreaming(Connection& connection) {
   const AttemptId attempt = connection.operation.attempt;
-  AttemptEnd end = std::move(connection.streamed_end);
+  AttemptResult end = std::move(connection.streamed_end);
   end.result = Result::kOk;
   end.streamed = true;
   connection.streaming = false;
@@ -373,7 +373,7 @@
   const AttemptId attempt = connection.operation.attempt;
   CloseConnection(connection);
   if (attempt == 0) return;
-  AttemptEnd end;
+  AttemptResult end;
   end.result = result;
   engine_.AttemptEnded(attempt, std::move(end));
 }
@@ -439,14 +439,14 @@
 }
 
 Parsed CacheServerPool::ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
-                                  AttemptEnd& end, std::optional<std::uint64_t>& length,
+                                  AttemptResult& end, std::optional<std::uint64_t>& length,
                                   std::size_t& trailer, bool&) const {
   trailer = 2;
   return ParseAttemptHead(in, *operation.request, limits(), used, end, length);
 }
 
 Parsed CacheServerPool::Parse(std::string_view in, const Operation& operation, InputEnd, std::size_t& used,
-                              AttemptEnd& end, bool&) const {
+                              AttemptResult& end, bool&) const {
   if (!operation.request) return ParseProbeReply(in, operation.load, limits(), used, end);
   return ParseAttemptReply(in, *operation.request, limits(), used, end);
 }
@@ -456,7 +456,7 @@
   return WriteOriginAttempt(server.endpoint, *operation.request, left);
 }
 
-Parsed OriginClient::ParseHead(std::string_view in, const Operation&, std::size_t& used, AttemptEnd& end,
+Parsed OriginClient::ParseHead(std::string_view in, const Operation&, std::size_t& used, AttemptResult& end,
                                std::optional<std::uint64_t>& length, std::size_t& trailer,
                                bool& keep) const {
   HttpAnswer answer;
@@ -470,7 +470,7 @@
 }
 
 Parsed OriginClient::Parse(std::string_view in, const Operation& operation, InputEnd input,
-                           std::size_t& used, AttemptEnd& end, bool& keep) const {
+                           std::size_t& used, AttemptResult& end, bool& keep) const {
   HttpAnswer answer;
   const Parsed got = ParseHttpAnswer(in, limits().value, limits(), input, used, answer);
   if (got != Parsed::kDone) return got;
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -53,14 +53,14 @@
   // Parses a whole answer. `input`: whether the server has closed its side, which ends some answers.
   // `keep`: whether the connection may be reused.
   virtual Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-                       AttemptEnd& end, bool& keep) const = 0;
+                       AttemptResult& end, bool& keep) const = 0;
   const Limits& limits() const { return limits_; }
   // Parses the head of an answer to a read whose value may be streamed. kDone with `length`: the value has
   // that length and begins after `used` bytes, `trailer` is the number of bytes that follow it (a CRLF, or
   // none), and `end` holds what the head states about the attempt. kDone without `length`: the answer is to
   // be read whole by Parse. kMore and kBad as for Parse.
   virtual Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
-                           AttemptEnd& end, std::optional<std::uint64_t>& length, std::size_t& trailer,
+                           AttemptResult& end, std::optional<std::uint64_t>& length, std::size_t& trailer,
                            bool& keep) const = 0;
 
  private:
@@ -80,7 +80,7 @@
     std::uint64_t value_left = 0;
     std::size_t trailer = 0;
     bool keep = true;         // whether the connection may be reused after it
-    AttemptEnd streamed_end;  // what the answer's head stated
+    AttemptResult streamed_end;  // what the answer's head stated
     bool idle = false;
     Time idle_since{0};
     Operation operation;
@@ -125,11 +125,11 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptResult& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
   std::string Format(const Operation& operation, const Server& server, Duration left) const override;
   Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-               AttemptEnd& end, bool& keep) const override;
+               AttemptResult& end, bool& keep) const override;
 };
 
 class OriginClient : public AttemptPool {
@@ -137,11 +137,11 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptResult& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
   std::string Format(const Operation& operation, const Server& server, Duration left) const override;
   Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-               AttemptEnd& end, bool& keep) const override;
+               AttemptResult& end, bool& keep) const override;
 };
 
 }  // namespace brasswood
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -304,8 +304,8 @@
   return out;
 }
 
-AttemptEnd ReadOriginAnswer(HttpAnswer answer, const RequestContent& request) {
-  AttemptEnd end = ReadOriginProbe(answer);
+AttemptResult ReadOriginAnswer(HttpAnswer answer, const RequestContent& request) {
+  AttemptResult end = ReadOriginProbe(answer);
   if (end.result != Result::kOk) return end;
   // A receipt is sent to the client as one word of a line: anything else would break that line.
   if (request.write && (!IsWord(answer.body) || answer.body.size() > 1024)) {
@@ -316,8 +316,8 @@
   return end;
 }
 
-AttemptEnd ReadOriginProbe(const HttpAnswer& answer) {
-  AttemptEnd end;
+AttemptResult ReadOriginProbe(const HttpAnswer& answer) {
+  AttemptResult end;
   const bool not_run = (answer.status == 503 || answer.status == 504) && answer.turned_away;
   end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kFull : Result::kError;
   std::string_view rest = answer.pressure;
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -100,8 +100,8 @@
 std::string WriteOriginAttempt(std::string_view host, const RequestContent& request, Duration left);
 
 // The outcome of an attempt, or of a probe, by the origin's answer to it.
-AttemptEnd ReadOriginAnswer(HttpAnswer answer, const RequestContent& request);
-AttemptEnd ReadOriginProbe(const HttpAnswer& answer);
+AttemptResult ReadOriginAnswer(HttpAnswer answer, const RequestContent& request);
+AttemptResult ReadOriginProbe(const HttpAnswer& answer);
 
 }  // namespace brasswood
 
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -174,7 +174,7 @@
 
 // `max_value`: the length of the largest value accepted; `head_only`: stop after a VA line.
 Parsed ParseReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                  std::size_t max_value, bool head_only, std::size_t& used, AttemptEnd& end,
+                  std::size_t max_value, bool head_only, std::size_t& used, AttemptResult& end,
                   std::optional<std::uint64_t>& value) {
   end = {};
   value.reset();
@@ -227,13 +227,13 @@
 }  // namespace
 
 Parsed ParseAttemptReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                         std::size_t& used, AttemptEnd& end) {
+                         std::size_t& used, AttemptResult& end) {
   std::optional<std::uint64_t> unused;
   return ParseReply(in, request, limits, limits.value, false, used, end, unused);
 }
 
 Parsed ParseAttemptHead(std::string_view in, const RequestContent& request, const Limits& limits,
-                        std::size_t& used, AttemptEnd& end, std::optional<std::uint64_t>& length) {
+                        std::size_t& used, AttemptResult& end, std::optional<std::uint64_t>& length) {
   return ParseReply(in, request, limits, limits.stream_most, true, used, end, length);
 }
 
@@ -247,7 +247,7 @@
 }
 
 Parsed ParseProbeReply(std::string_view in, bool load, const Limits& limits, std::size_t& used,
-                       AttemptEnd& end) {
+                       AttemptResult& end) {
   end = {};
   std::string_view line;
   std::size_t at = 0, n = 0;
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -42,17 +42,17 @@
 
 // Parses the answer to an attempt. kBad: it is malformed, or does not belong to this attempt.
 Parsed ParseAttemptReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                         std::size_t& used, AttemptEnd& end);
+                         std::size_t& used, AttemptResult& end);
 
 // Parses only the head line of the answer to an attempt. For a VA line, `length` is the length of the value
 // and `used` ends where the value begins; any other answer is left to ParseAttemptReply (`length` is
 // empty). kBad as for ParseAttemptReply.
 Parsed ParseAttemptHead(std::string_view in, const RequestContent& request, const Limits& limits,
-                        std::size_t& used, AttemptEnd& end, std::optional<std::uint64_t>& length);
+                        std::size_t& used, AttemptResult& end, std::optional<std::uint64_t>& length);
 
 // Parses the answer to `mn` or, with `load`, to `stats load`.
 Parsed ParseProbeReply(std::string_view in, bool load, const Limits& limits, std::size_t& used,
-                       AttemptEnd& end);
+                       AttemptResult& end);
 
 // Sets the field `name` of a load report; unknown names are ignored.
 void SetReportField(beechledge::LoadReport& report, std::string_view name, double value);
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -194,7 +194,7 @@
   for (const Case& c : cases) {
     INFO(c.in);
     std::size_t used = 0;
-    AttemptEnd end;
+    AttemptResult end;
     REQUIRE(ParseAttemptReply(c.in, c.request, kLimits, used, end) == c.parsed);
     if (c.parsed != Parsed::kDone) continue;
     CHECK(used == c.in.size());
@@ -207,7 +207,7 @@
     }
   }
   std::size_t used = 0;
-  AttemptEnd end;
+  AttemptResult end;
   CHECK(ParseProbeReply("MN\r\n", false, kLimits, used, end) == Parsed::kDone);
   CHECK(ParseProbeReply("ERROR\r\n", false, kLimits, used, end) == Parsed::kBad);
   CHECK(ParseProbeReply("STAT queue 3\r\n", true, kLimits, used, end) == Parsed::kMore);
@@ -300,7 +300,7 @@
   CHECK(read(503, false, kRead).result == Result::kError);  // it may have run
   CHECK(read(500, true, kRead).result == Result::kError);
   CHECK(read(200, false, kRead).report->queue == 2);
-  const AttemptEnd odd = ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
+  const AttemptResult odd = ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
   CHECK(odd.result == Result::kOk);
   CHECK_FALSE(odd.report->queue);
   CHECK_FALSE(odd.report->eps);
