--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -80,11 +80,11 @@
 class BackEnd {
  public:
   virtual ~BackEnd() = default;
-  // `until`: an answer after this is useless. `sent_by`: if its last byte cannot be sent before this, the
+  // `until`: an answer after this is useless. `send_deadline`: if its last byte cannot be sent before this, the
   // attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte, because the
   // state may have changed by then.
   virtual void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
-                     Time until, Time sent_by) = 0;
+                     Time until, Time send_deadline) = 0;
   virtual void Probe(AttemptId probe, ServerId to, bool load) = 0;
   // Closes the attempt's connection at once and returns whether the whole attempt had been sent. Nothing
   // more is reported for it.
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -234,8 +234,8 @@
   }
   Time until = request->deadline;
   if (a.timeout > Duration(0)) until = std::min(until, now + a.timeout);
-  const Time sent_by = std::min(until, request->repeat_by);
-  const AttemptId id = attempts_.Add({a.id, a.server, attempt, now, sent_by, {}});
+  const Time send_deadline = std::min(until, request->repeat_by);
+  const AttemptId id = attempts_.Add({a.id, a.server, attempt, now, send_deadline, {}});
   request->in_flight.push_back(id);
   request->tried_servers.push_back(a.server);
   attempts_.Find(id)->deadline = deadlines_.Set(until, [this, id] {
@@ -243,7 +243,7 @@
     Pump();
   });
   ++counters_.attempts_sent;
-  BackEndOf(a.server).Start(id, a.server, request->content, until, sent_by);
+  BackEndOf(a.server).Start(id, a.server, request->content, until, send_deadline);
 }
 
 bool Engine::IsUnsafe(const Request& request) const {
@@ -436,7 +436,7 @@
   if (!facts.request_open) return EvaluateSend(facts);
   facts.client_present = request->front->IsConnected(request->ticket);
   facts.now = now_();
-  facts.send_by = attempt->sent_by;
+  facts.send_by = attempt->send_deadline;
   facts.server_serving = directory_.Serving(attempt->server, facts.now, settings_.rules.drain_grace / 2);
   facts.same_endpoint = directory_.At(attempt->server).endpoint == endpoint;
   return EvaluateSend(facts);
@@ -474,7 +474,7 @@
                        availability_record_.MaySend(server.uid, now, grace);
   const bool others_end = request->in_flight.size() == 1 || settings_.allowed.parallel_tries;
   invariants.Expect(!request->ended, Invariant::kSentForOpen, who);
-  invariants.Expect(now < attempt->sent_by + Invariants::kMostHeldUp, Invariant::kSentInTime, who);
+  invariants.Expect(now < attempt->send_deadline + Invariants::kMostHeldUp, Invariant::kSentInTime, who);
   invariants.Expect(serving, Invariant::kSentToServing, who);
   invariants.Expect(others_end, Invariant::kSentAlone, who);
   invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kSentHarmlessly, who);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -126,7 +126,7 @@
     ServerId server = 0;
     int number = 0;  // its index among the request's attempts, from 0
     Time sent{0};
-    Time sent_by{0};  // its last byte must be sent before this
+    Time send_deadline{0};  // its last byte must be sent before this
     Deadlines::Id deadline;
   };
 
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -31,8 +31,8 @@
 }
 
 void AttemptPool::Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
-                        Time until, Time sent_by) {
-  StartOperation(to, {attempt, std::move(request), false, until, sent_by});
+                        Time until, Time send_deadline) {
+  StartOperation(to, {attempt, std::move(request), false, until, send_deadline});
 }
 void AttemptPool::Probe(AttemptId probe, ServerId to, bool load) {
   StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe, {}});
@@ -149,10 +149,10 @@
   connection.written = true;
   connection.sent_reported = false;
   // Guards against a repeat whose last byte is held back by the peer's full receive window until after
-  // `sent_by`.
-  if (connection.operation.request && connection.operation.sent_by < connection.operation.until) {
+  // `send_deadline`.
+  if (connection.operation.request && connection.operation.send_deadline < connection.operation.until) {
     connection.send_deadline =
-        loop_.deadlines().Set(connection.operation.sent_by, [this, it = connection.self] {
+        loop_.deadlines().Set(connection.operation.send_deadline, [this, it = connection.self] {
           it->send_deadline = {};
           if (!FullySent(*it)) CloseWithResult(*it, Result::kConnectFailed);
         });
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -32,7 +32,7 @@
   ~AttemptPool() override;
 
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request, Time until,
-             Time sent_by) override;
+             Time send_deadline) override;
   void Probe(AttemptId probe, ServerId to, bool load) override;
   bool Abandon(AttemptId attempt) override;
   void CloseIdle(ServerId server) override;
@@ -46,7 +46,7 @@
     std::shared_ptr<const RequestContent> request;  // empty for a probe
     bool load = false;                              // of a probe: whether it asks for a load report
     Time until{0};
-    Time sent_by{0};
+    Time send_deadline{0};
   };
   // The bytes to send. `left`: the time until which an answer is of use, as a duration from now.
   virtual std::string Format(const Operation& operation, const Server& server, Duration left) const = 0;
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -82,7 +82,7 @@
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent>, Time,
              Time by) override {
     attempts.push_back({attempt, to});
-    sent_by.push_back(by);
+    send_deadlines.push_back(by);
     if (fail_at_once) engine->AttemptEnded(attempt, {Result::kConnectFailed, {}, {}, {}});
   }
   void Probe(AttemptId, ServerId, bool) override {}
@@ -102,7 +102,7 @@
   std::map<std::uint64_t, std::size_t> opened;
   std::map<std::uint64_t, std::string> pieces;
   std::vector<std::pair<AttemptId, ServerId>> attempts;
-  std::vector<Time> sent_by;
+  std::vector<Time> send_deadlines;
   std::vector<AttemptId> abandoned;
   std::vector<ServerId> forgotten;
 };
@@ -403,7 +403,7 @@
     w.engine->AttemptEnded(one, {first, {}, {}, {}});
     REQUIRE(w.ends.attempts.size() == 2);
     const AttemptId again = w.ends.attempts[1].first;
-    CHECK(w.ends.sent_by[1] - w.now == (first == Result::kReset ? 75ms : 800ms));
+    CHECK(w.ends.send_deadlines[1] - w.now == (first == Result::kReset ? 75ms : 800ms));
     w.now += 74ms;
     CHECK(w.MaySendFirstByte(again, "127.0.0.1:1"));
     w.now += 2ms;  // the last byte needs time to arrive
