--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -18,7 +18,7 @@
   return update;
 }
 
-ListVerdict ServerDirectory::Judge(const ServerList& list, const ListOrigin& origin) const {
+ListVerdict ServerDirectory::Classify(const ServerList& list, const ListOrigin& origin) const {
   if (origin.begun < restarted_) return ListVerdict::kOlder;
   if (held_ && list.rev < *held_) {
     if (origin.begun <= held_confirmed_) return ListVerdict::kOlder;
@@ -30,7 +30,7 @@
 
 DirectoryUpdate ServerDirectory::Merge(const ServerList& list, const ListOrigin& origin) {
   DirectoryUpdate update;
-  update.verdict = Judge(list, origin);
+  update.verdict = Classify(list, origin);
   switch (update.verdict) {
     case ListVerdict::kOlder:
       return update;
--- a/src/discovery/server_directory.h
+++ b/src/discovery/server_directory.h
@@ -88,7 +88,7 @@
   // Sets the configured or persisted list. An entry from discovery with the same version takes precedence.
   DirectoryUpdate SetInitialList(const ServerList& list, Time now);
   // The verdict that Merge would return for the list. Changes nothing.
-  ListVerdict Judge(const ServerList& list, const ListOrigin& origin) const;
+  ListVerdict Classify(const ServerList& list, const ListOrigin& origin) const;
   DirectoryUpdate Merge(const ServerList& list, const ListOrigin& origin);
   // Merges the complete entries of an answer that is incomplete, or not complete yet.
   DirectoryUpdate MergePart(const ServerList& part, const ListOrigin& origin);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -274,7 +274,7 @@
   const auto list = ReadServerList(answer.body, names_, limits_, why);
   if (!list) return Fail(id, CallEnd::kBadAnswer, "server list refused: " + why);
   const ListOrigin origin = CurrentOrigin(call);
-  const ListVerdict verdict = engine_.directory().Judge(*list, origin);
+  const ListVerdict verdict = engine_.directory().Classify(*list, origin);
   if (verdict != ListVerdict::kTaken && verdict != ListVerdict::kRestartTaken) {
     const std::string received =
         (list->all ? "a list of version " : "changes of version ") + std::to_string(list->rev);
