--- a/lab/explore/directory_exploration.cpp
+++ b/lab/explore/directory_exploration.cpp
@@ -38,7 +38,7 @@
     if (fault_ == DirectoryFault::kBaseForgotten) origin.since = held;
     const std::set<std::string> drained = Drained();
     const ListVerdict verdict = directory_.Merge(list, origin).verdict;
-    if (verdict == ListVerdict::kTaken) InjectFault(list, drained, origin.told);
+    if (verdict == ListVerdict::kTaken) InjectFault(list, drained, origin.notified_at);
     return verdict;
   }
   void MergePart(const ServerList& part, const ListOrigin& origin) {
@@ -232,7 +232,7 @@
   Answer MakeAnswer(const State& state, SourceId source, Time begun, std::optional<std::int64_t> since) {
     Answer answer;
     answer.origin.source = source;
-    answer.origin.begun = begun;
+    answer.origin.requested_at = begun;
     answer.origin.since = since;
     answer.list.rev = state.version;
     std::int64_t from = since.value_or(-1);
@@ -269,7 +269,7 @@
   }
   void ArriveInPart(Answer answer) {
     answer.list.entries.resize(rng_(static_cast<std::uint32_t>(answer.list.entries.size()) + 1));
-    answer.origin.arrived = answer.origin.told = time_.now();
+    answer.origin.received_at = answer.origin.notified_at = time_.now();
     const bool stale = BegunBeforeRestart(answer);
     Trace("part of version", answer.list.rev, "with", answer.list.entries.size(), "entries");
     subject_.MergePart(answer.list, answer.origin);
@@ -280,17 +280,17 @@
     }
   }
   void Arrive(Answer answer) {
-    answer.origin.arrived = answer.origin.told = time_.now();
+    answer.origin.received_at = answer.origin.notified_at = time_.now();
     const ListVerdict verdict = subject_.Merge(answer.list, answer.origin);
     Trace(answer.list.all ? "list" : "changes", "of version", answer.list.rev, "asked for at",
-          std::chrono::duration<double>(answer.origin.begun).count(), "source", answer.origin.source,
+          std::chrono::duration<double>(answer.origin.requested_at).count(), "source", answer.origin.source,
           kListVerdictNames[static_cast<std::size_t>(verdict)]);
     if (BegunBeforeRestart(answer)) return;
     if (verdict == ListVerdict::kRestartTaken) expected_.Clear();
     Record(answer);
   }
   bool BegunBeforeRestart(const Answer& answer) const {
-    return restarted_ && answer.origin.begun < *restarted_ + milliseconds(200);
+    return restarted_ && answer.origin.requested_at < *restarted_ + milliseconds(200);
   }
   void Record(const Answer& answer) {
     std::set<std::string> named;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -506,9 +506,9 @@
   if (update.verdict == ListVerdict::kRestartTaken) availability_record_.Reset();
   const bool whole = update.verdict == ListVerdict::kTaken || update.verdict == ListVerdict::kRestartTaken;
   if (whole) {
-    availability_record_.RecordList(list, origin.arrived);
+    availability_record_.RecordList(list, origin.received_at);
   } else if (update.verdict == ListVerdict::kNoBase) {
-    availability_record_.RecordPart(list, origin.arrived);
+    availability_record_.RecordPart(list, origin.received_at);
   }
   if (!whole && update.named.empty()) return;
   Apply(update, whole && list.all ? ListKind::kAll : ListKind::kChanges);
@@ -519,9 +519,9 @@
 
 // An incomplete answer may have been in transit for a long time: its drains have no grace period left.
 void Engine::PartialListReceived(const ServerList& part, const ListOrigin& origin) {
-  availability_record_.RecordPart(part, origin.arrived);
+  availability_record_.RecordPart(part, origin.received_at);
   ListOrigin late = origin;
-  late.told = std::min(origin.told, now_() - settings_.rules.drain_grace / 2);
+  late.notified_at = std::min(origin.notified_at, now_() - settings_.rules.drain_grace / 2);
   const DirectoryUpdate update = directory_.MergePart(part, late);
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
@@ -534,7 +534,7 @@
   LogLine(Level::kInfo) << "list of version " << list.rev << " from source " << origin.source << ", call "
                         << origin.call << ": "
                         << kListVerdictNames[static_cast<std::size_t>(update.verdict)] << "; asked for "
-                        << (now_() - origin.begun).count() / 1000000
+                        << (now_() - origin.requested_at).count() / 1000000
                         << " ms ago, version held: " << directory_.held().value_or(-1);
 }
 
--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -12,16 +12,16 @@
 DirectoryUpdate ServerDirectory::SetInitialList(const ServerList& list, Time now) {
   DirectoryUpdate update;
   ListOrigin origin;
-  origin.told = now;
+  origin.notified_at = now;
   ApplyAll(list, {list.rev, false}, origin, update);
   if (list.rev >= 0) held_ = list.rev;
   return update;
 }
 
 ListVerdict ServerDirectory::Classify(const ServerList& list, const ListOrigin& origin) const {
-  if (origin.begun < restarted_) return ListVerdict::kOlder;
+  if (origin.requested_at < restarted_) return ListVerdict::kOlder;
   if (held_ && list.rev < *held_) {
-    if (origin.begun <= held_confirmed_) return ListVerdict::kOlder;
+    if (origin.requested_at <= held_confirmed_) return ListVerdict::kOlder;
     return RestartConfirmed(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
   }
   const bool has_base = list.all || (origin.since && held_ && *origin.since <= *held_);
@@ -41,7 +41,7 @@
       ApplyDrains(list, {list.rev, true}, origin, update);
       return update;
     case ListVerdict::kRestartTaken:
-      restarted_ = origin.arrived;
+      restarted_ = origin.received_at;
       for (Record& record : records_) {
         record.stamp = {};
         record.min_started = std::max(record.min_started, record.reported.started);
@@ -51,16 +51,16 @@
       break;
   }
   held_ = list.rev;
-  held_confirmed_ = std::max(held_confirmed_, origin.arrived);
+  held_confirmed_ = std::max(held_confirmed_, origin.received_at);
   ApplyAll(list, {list.rev, true}, origin, update);
-  EndDoubt(origin.told, update);
+  EndDoubt(origin.notified_at, update);
   return update;
 }
 
 DirectoryUpdate ServerDirectory::MergePart(const ServerList& part, const ListOrigin& origin) {
   DirectoryUpdate update;
   // Guards against a late copy of an earlier answer: its drains may have ended since.
-  if (origin.begun < restarted_ || (held_ && part.rev <= *held_)) {
+  if (origin.requested_at < restarted_ || (held_ && part.rev <= *held_)) {
     update.verdict = ListVerdict::kNotNewer;
     return update;
   }
@@ -78,7 +78,7 @@
     if (id >= named.size()) named.resize(id + 1);
     named[id] = true;
     if (Replaces(records_[id], entry, stamp)) StoreEntry(id, entry, stamp, origin.source);
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
     update.named.push_back(id);
   }
   if (!list.all) return;
@@ -87,7 +87,7 @@
     if (named[id] || record.server.uid.empty() || record.stamp.version > stamp.version) continue;
     record.reported.availability = Availability::kRemoved;
     record.stamp = stamp;
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
   }
 }
 
@@ -100,7 +100,7 @@
     if (known == by_uid_.end() || entry.availability == Availability::kUp) continue;
     if (!Replaces(records_[known->second], entry, stamp)) continue;
     StoreEntry(known->second, entry, stamp, origin.source);
-    Refresh(known->second, origin.told, update);
+    Refresh(known->second, origin.notified_at, update);
     update.named.push_back(known->second);
   }
 }
@@ -207,14 +207,14 @@
     return entry.availability == Availability::kUp;
   });
   return list.all && serves && doubt_.lists + 1 >= kRestartLists &&
-         origin.begun - doubt_.first_begun >= kRestartEvidence;
+         origin.requested_at - doubt_.first_begun >= kRestartEvidence;
 }
 
 // Guards against missing a drain that a restarted discovery sends with a version below the one held.
 void ServerDirectory::ApplyDoubted(const ServerList& list, const ListOrigin& origin,
                                    DirectoryUpdate& update) {
   if (!list.all) return;  // changes from an unknown state
-  if (doubt_.lists++ == 0) doubt_.first_begun = origin.begun;
+  if (doubt_.lists++ == 0) doubt_.first_begun = origin.requested_at;
   const bool newest = list.rev >= doubt_.version;
   doubt_.version = std::max(doubt_.version, list.rev);
   std::set<std::string> in_service, named;
@@ -239,7 +239,7 @@
       in_service_left -= serves;
     }
     if (newest && in_service.contains(uid)) record.doubted = false;
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
     update.named.push_back(id);
   }
   doubt_.named.merge(named);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -50,7 +50,7 @@
   origin.source = action.source;
   origin.call = action.id;
   origin.since = action.since;
-  origin.begun = now;
+  origin.requested_at = now;
 }
 
 DiscoveryWatch::DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits,
@@ -249,8 +249,8 @@
 // it is dated back by half the drain's grace period, so that a drain in it has no grace left.
 ListOrigin DiscoveryWatch::CurrentOrigin(const Call& call) const {
   ListOrigin origin = call.origin;
-  origin.arrived = loop_.EarliestArrival();
-  origin.told = refresher_.Undisturbed(call.id) ? std::min(origin.arrived, call.first_byte_at)
+  origin.received_at = loop_.EarliestArrival();
+  origin.notified_at = refresher_.Undisturbed(call.id) ? std::min(origin.received_at, call.first_byte_at)
                                                 : loop_.Now() - drain_grace_ / 2;
   return origin;
 }
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -140,7 +140,7 @@
   ListOrigin Origin() const {
     ListOrigin origin;
     origin.since = engine->directory().held();
-    origin.begun = origin.arrived = origin.told = now;
+    origin.requested_at = origin.received_at = origin.notified_at = now;
     return origin;
   }
   // A list from discovery. Its version is the next one unless the list states one.
--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -31,8 +31,8 @@
 ListOrigin Requested(Time begun, Time arrived, std::optional<std::int64_t> since = std::nullopt) {
   ListOrigin origin;
   origin.since = since;
-  origin.begun = begun;
-  origin.arrived = origin.told = arrived;
+  origin.requested_at = begun;
+  origin.received_at = origin.notified_at = arrived;
   return origin;
 }
 
