--- a/lab/explore/directory_exploration.cpp
+++ b/lab/explore/directory_exploration.cpp
@@ -34,7 +34,7 @@
   void SetInitialList(const ServerList& list, Time now) { directory_.SetInitialList(list, now); }
   ListVerdict Merge(ServerList list, ListOrigin origin) {
     const std::int64_t held = directory_.held().value_or(0);
-    if (fault_ == DirectoryFault::kVersionNotCompared) list.rev = held + 1;
+    if (fault_ == DirectoryFault::kVersionNotCompared) list.version = held + 1;
     if (fault_ == DirectoryFault::kBaseForgotten) origin.since = held;
     const std::set<std::string> drained = Drained();
     const ListVerdict verdict = directory_.Merge(list, origin).verdict;
@@ -77,7 +77,7 @@
     wrongly_restored_.clear();
     for (const ServerEntry& entry : list.entries) {
       const bool up = entry.availability == Availability::kUp;
-      if (list.all && up && drained_by_parts_.contains(entry.uid)) wrongly_restored_.insert(entry.uid);
+      if (list.is_whole && up && drained_by_parts_.contains(entry.uid)) wrongly_restored_.insert(entry.uid);
     }
   }
 
@@ -136,7 +136,7 @@
 
   std::string Run() {
     ServerList known;
-    known.rev = 0;
+    known.version = 0;
     for (const auto& [uid, entry] : history_[Time(0)].servers) known.entries.push_back(entry);
     subject_.SetInitialList(known, Time(0));
     for (const ServerEntry& entry : known.entries) expected_.RecordIn(entry, 0);
@@ -234,20 +234,20 @@
     answer.origin.source = source;
     answer.origin.requested_at = begun;
     answer.origin.since = since;
-    answer.list.rev = state.version;
+    answer.list.version = state.version;
     std::int64_t from = since.value_or(-1);
     const bool unrequested = !since && Chance(rng_, 0.15);  // changes although the whole list was requested
     if (unrequested)
       from = std::max<std::int64_t>(0, state.version - 1 - static_cast<std::int64_t>(rng_(2)));
     answer.has_base = !unrequested;
-    answer.list.all = !unrequested && (!since || *since > state.version);
+    answer.list.is_whole = !unrequested && (!since || *since > state.version);
     for (const auto& [uid, entry] : state.servers) {
       const auto changed = state.changed.find(uid);
       const bool is_new = changed != state.changed.end() && changed->second > from;
-      if (answer.list.all || is_new) answer.list.entries.push_back(entry);
+      if (answer.list.is_whole || is_new) answer.list.entries.push_back(entry);
     }
     for (const auto& [uid, version] : state.removed) {
-      if (answer.list.all || version <= from) continue;
+      if (answer.list.is_whole || version <= from) continue;
       ServerEntry entry;
       entry.uid = uid;
       entry.availability = Availability::kRemoved;
@@ -271,18 +271,18 @@
     answer.list.entries.resize(rng_(static_cast<std::uint32_t>(answer.list.entries.size()) + 1));
     answer.origin.received_at = answer.origin.notified_at = time_.now();
     const bool stale = BegunBeforeRestart(answer);
-    Trace("part of version", answer.list.rev, "with", answer.list.entries.size(), "entries");
+    Trace("part of version", answer.list.version, "with", answer.list.entries.size(), "entries");
     subject_.MergePart(answer.list, answer.origin);
     if (stale) return;
     for (const ServerEntry& entry : answer.list.entries) {
       if (entry.availability != Availability::kUp)
-        expected_.RecordOut(entry.uid, answer.list.rev, time_.now());
+        expected_.RecordOut(entry.uid, answer.list.version, time_.now());
     }
   }
   void Arrive(Answer answer) {
     answer.origin.received_at = answer.origin.notified_at = time_.now();
     const ListVerdict verdict = subject_.Merge(answer.list, answer.origin);
-    Trace(answer.list.all ? "list" : "changes", "of version", answer.list.rev, "asked for at",
+    Trace(answer.list.is_whole ? "list" : "changes", "of version", answer.list.version, "asked for at",
           std::chrono::duration<double>(answer.origin.requested_at).count(), "source", answer.origin.source,
           kListVerdictNames[static_cast<std::size_t>(verdict)]);
     if (BegunBeforeRestart(answer)) return;
@@ -297,12 +297,12 @@
     for (const ServerEntry& entry : answer.list.entries) {
       named.insert(entry.uid);
       const bool up = entry.availability == Availability::kUp;
-      if (!up) expected_.RecordOut(entry.uid, answer.list.rev, time_.now());
-      if (up && answer.has_base) expected_.RecordIn(entry, answer.list.rev);
+      if (!up) expected_.RecordOut(entry.uid, answer.list.version, time_.now());
+      if (up && answer.has_base) expected_.RecordIn(entry, answer.list.version);
     }
-    for (int n = 0; answer.list.all && n < kServers; ++n) {
+    for (int n = 0; answer.list.is_whole && n < kServers; ++n) {
       const std::string uid = "s" + std::to_string(n);
-      if (!named.contains(uid)) expected_.RecordOut(uid, answer.list.rev, time_.now());
+      if (!named.contains(uid)) expected_.RecordOut(uid, answer.list.version, time_.now());
     }
   }
 
--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -121,7 +121,7 @@
       const auto list = ReadServerList(answer.body, config_.settings.names, config_.limits, why);
       const std::lock_guard lock(lock_);
       if (!list) continue;
-      const bool changed = list->entries.size() != list_.entries.size() || list->rev != list_.rev;
+      const bool changed = list->entries.size() != list_.entries.size() || list->version != list_.version;
       list_changed_ = list_changed_ || changed;
       // With kLateDrain the router has received the change, but goes on with the earlier list.
       if (fault_ != Fault::kLateDrain) list_ = *list;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -483,7 +483,7 @@
 void Engine::SetInitialList(const ServerList& known, bool old) {
   Apply(directory_.SetInitialList(known, now_()), ListKind::kRemembered, old);
   ready_ = true;
-  LogLine(Level::kInfo) << "list of version " << known.rev << " loaded at the start, "
+  LogLine(Level::kInfo) << "list of version " << known.version << " loaded at the start, "
                         << known.entries.size() << " servers";
   if (Logs(Level::kDebug)) LogAvoidedServers();
 }
@@ -511,7 +511,7 @@
     availability_record_.RecordPart(list, origin.received_at);
   }
   if (!whole && update.named.empty()) return;
-  Apply(update, whole && list.all ? ListKind::kAll : ListKind::kChanges);
+  Apply(update, whole && list.is_whole ? ListKind::kAll : ListKind::kChanges);
   if (!whole) return;
   confirmed_ = true;
   ApplySnapshot();
@@ -531,7 +531,7 @@
 void Engine::LogVerdict(const DirectoryUpdate& update, const ServerList& list,
                         const ListOrigin& origin) const {
   if (update.verdict == ListVerdict::kTaken) return;
-  LogLine(Level::kInfo) << "list of version " << list.rev << " from source " << origin.source << ", call "
+  LogLine(Level::kInfo) << "list of version " << list.version << " from source " << origin.source << ", call "
                         << origin.call << ": "
                         << kListVerdictNames[static_cast<std::size_t>(update.verdict)] << "; asked for "
                         << (now_() - origin.requested_at).count() / 1000000
@@ -585,7 +585,7 @@
 
 Snapshot Engine::ExportSnapshot(std::size_t max_keys) const {
   Snapshot s;
-  s.list.rev = directory_.held().value_or(-1);
+  s.list.version = directory_.held().value_or(-1);
   s.suspended = directory_.suspended();
   std::unordered_map<ServerId, ServerId> indexes;
   for (ServerId id = 0; id < directory_.size(); ++id) {
--- a/src/discovery/news_ledger.h
+++ b/src/discovery/news_ledger.h
@@ -20,12 +20,12 @@
  public:
   // Records an applicable list: a whole list, or changes from a version that is held.
   void RecordList(const ServerList& list, Time arrived) {
-    for (const ServerEntry& entry : list.entries) RecordEntry(entry, list.rev, arrived);
-    if (!list.all) return;
+    for (const ServerEntry& entry : list.entries) RecordEntry(entry, list.version, arrived);
+    if (!list.is_whole) return;
     std::set<std::string> named;
     for (const ServerEntry& entry : list.entries) named.insert(entry.uid);
     for (auto& [uid, state] : states_) {
-      if (!named.contains(uid)) UpdateState(state, true, list.rev, arrived);
+      if (!named.contains(uid)) UpdateState(state, true, list.version, arrived);
     }
     std::erase_if(states_, [arrived](const auto& state) {
       return state.second.out_since && arrived - *state.second.out_since > kRemovedRetention;
@@ -34,7 +34,7 @@
   // Records entries of an incomplete answer. A return to service counts only once the answer is complete.
   void RecordPart(const ServerList& part, Time arrived) {
     for (const ServerEntry& entry : part.entries) {
-      if (entry.availability != beechledge::Availability::kUp) RecordEntry(entry, part.rev, arrived);
+      if (entry.availability != beechledge::Availability::kUp) RecordEntry(entry, part.version, arrived);
     }
   }
   // Discovery restarted with lower versions.
--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -13,18 +13,18 @@
   DirectoryUpdate update;
   ListOrigin origin;
   origin.notified_at = now;
-  ApplyAll(list, {list.rev, false}, origin, update);
-  if (list.rev >= 0) held_ = list.rev;
+  ApplyAll(list, {list.version, false}, origin, update);
+  if (list.version >= 0) held_ = list.version;
   return update;
 }
 
 ListVerdict ServerDirectory::Classify(const ServerList& list, const ListOrigin& origin) const {
   if (origin.requested_at < restarted_) return ListVerdict::kOlder;
-  if (held_ && list.rev < *held_) {
+  if (held_ && list.version < *held_) {
     if (origin.requested_at <= held_confirmed_) return ListVerdict::kOlder;
     return RestartConfirmed(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
   }
-  const bool has_base = list.all || (origin.since && held_ && *origin.since <= *held_);
+  const bool has_base = list.is_whole || (origin.since && held_ && *origin.since <= *held_);
   return has_base ? ListVerdict::kTaken : ListVerdict::kNoBase;
 }
 
@@ -38,7 +38,7 @@
       ApplyDoubted(list, origin, update);
       return update;
     case ListVerdict::kNoBase:
-      ApplyDrains(list, {list.rev, true}, origin, update);
+      ApplyDrains(list, {list.version, true}, origin, update);
       return update;
     case ListVerdict::kRestartTaken:
       restarted_ = origin.received_at;
@@ -50,9 +50,9 @@
     default:
       break;
   }
-  held_ = list.rev;
+  held_ = list.version;
   held_confirmed_ = std::max(held_confirmed_, origin.received_at);
-  ApplyAll(list, {list.rev, true}, origin, update);
+  ApplyAll(list, {list.version, true}, origin, update);
   EndDoubt(origin.notified_at, update);
   return update;
 }
@@ -60,12 +60,12 @@
 DirectoryUpdate ServerDirectory::MergePart(const ServerList& part, const ListOrigin& origin) {
   DirectoryUpdate update;
   // Guards against a late copy of an earlier answer: its drains may have ended since.
-  if (origin.requested_at < restarted_ || (held_ && part.rev <= *held_)) {
+  if (origin.requested_at < restarted_ || (held_ && part.version <= *held_)) {
     update.verdict = ListVerdict::kNotNewer;
     return update;
   }
   update.verdict = ListVerdict::kPartTaken;
-  ApplyDrains(part, {part.rev, true}, origin, update);
+  ApplyDrains(part, {part.version, true}, origin, update);
   return update;
 }
 
@@ -81,7 +81,7 @@
     Refresh(id, origin.notified_at, update);
     update.named.push_back(id);
   }
-  if (!list.all) return;
+  if (!list.is_whole) return;
   for (ServerId id = 0; id < records_.size(); ++id) {
     Record& record = records_[id];
     if (named[id] || record.server.uid.empty() || record.stamp.version > stamp.version) continue;
@@ -206,17 +206,17 @@
   const bool serves = std::any_of(list.entries.begin(), list.entries.end(), [](const ServerEntry& entry) {
     return entry.availability == Availability::kUp;
   });
-  return list.all && serves && doubt_.lists + 1 >= kRestartLists &&
+  return list.is_whole && serves && doubt_.lists + 1 >= kRestartLists &&
          origin.requested_at - doubt_.first_begun >= kRestartEvidence;
 }
 
 // Guards against missing a drain that a restarted discovery sends with a version below the one held.
 void ServerDirectory::ApplyDoubted(const ServerList& list, const ListOrigin& origin,
                                    DirectoryUpdate& update) {
-  if (!list.all) return;  // changes from an unknown state
+  if (!list.is_whole) return;  // changes from an unknown state
   if (doubt_.lists++ == 0) doubt_.first_begun = origin.requested_at;
-  const bool newest = list.rev >= doubt_.version;
-  doubt_.version = std::max(doubt_.version, list.rev);
+  const bool newest = list.version >= doubt_.version;
+  doubt_.version = std::max(doubt_.version, list.version);
   std::set<std::string> in_service, named;
   for (const ServerEntry& entry : list.entries) {
     named.insert(entry.uid);
--- a/src/discovery/server_list.h
+++ b/src/discovery/server_list.h
@@ -22,8 +22,8 @@
 };
 
 struct ServerList {
-  std::int64_t rev = -1;
-  bool all = true;  // a whole list; false: only the changes
+  std::int64_t version = -1;
+  bool is_whole = true;  // a whole list; false: only the changes
   std::vector<ServerEntry> entries;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -61,7 +61,7 @@
   ConnBudget budget;
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
-  DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.rev,
+  DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
                        beechledge::Unit(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
   ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
@@ -96,7 +96,7 @@
     for (const std::string& uid : snapshot->suspended) engine.Suspend(uid, true);
   }
   operations.Restore();
-  if (snapshot && !snapshot->list.entries.empty() && snapshot->list.rev > config.known.rev) {
+  if (snapshot && !snapshot->list.entries.empty() && snapshot->list.version > config.known.version) {
     engine.SetInitialList(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old);
   } else {
     engine.SetInitialList(config.known);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -277,7 +277,7 @@
   const ListVerdict verdict = engine_.directory().Classify(*list, origin);
   if (verdict != ListVerdict::kTaken && verdict != ListVerdict::kRestartTaken) {
     const std::string received =
-        (list->all ? "a list of version " : "changes of version ") + std::to_string(list->rev);
+        (list->is_whole ? "a list of version " : "changes of version ") + std::to_string(list->version);
     if (verdict == ListVerdict::kNoBase) {
       Fail(id, CallEnd::kNoBase, received + ", asked for from a version that is not held");
     } else {
@@ -292,7 +292,7 @@
   reusable_call_ = id;
   calls_.erase(id);
   ListActions actions;
-  refresher_.Answered(loop_.Now(), id, list->rev, actions);
+  refresher_.Answered(loop_.Now(), id, list->version, actions);
   // The next call is sent before the engine applies the list: a watch stays open without a gap only if it
   // is called again at once.
   ExecuteActions(actions);
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -128,7 +128,7 @@
 
 std::optional<ServerList> ListReader::TakeCompletedEntries() {
   if (!list_ || list_->entries.empty()) return std::nullopt;
-  return ServerList{list_->rev, list_->all, std::exchange(list_->entries, {})};
+  return ServerList{list_->version, list_->is_whole, std::exchange(list_->entries, {})};
 }
 
 std::optional<ServerList> ReadServerList(const Value& in, const Names& names, const Limits& limits,
@@ -154,13 +154,13 @@
     why = "too many servers";
   }
   if (!why.empty()) return std::nullopt;
-  list.rev = rev->GetInt64();
-  list.all = all->GetBool();
+  list.version = rev->GetInt64();
+  list.is_whole = all->GetBool();
   std::set<std::string> seen;
   for (const Value& target : targets->GetArray()) {
     ServerEntry entry;
     why = ReadEntry(target, names, entry);
-    if (why.empty() && list.all && !seen.insert(entry.uid).second) why = entry.uid + ": named twice";
+    if (why.empty() && list.is_whole && !seen.insert(entry.uid).second) why = entry.uid + ": named twice";
     if (!why.empty()) return std::nullopt;
     list.entries.push_back(std::move(entry));
   }
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -63,7 +63,7 @@
   w.StartObject();
   w.Key("router"), str(s.router);
   w.Key("taken"), w.Int64(s.taken.count());
-  w.Key("rev"), w.Int64(s.list.rev);
+  w.Key("rev"), w.Int64(s.list.version);
   w.Key("list"), w.StartArray();
   for (const ServerEntry& e : s.list.entries) {
     w.StartArray();
@@ -127,7 +127,7 @@
   bool ok = true;
   s.router = d["router"].GetString();
   s.taken = Time(d["taken"].GetInt64());
-  s.list.rev = d["rev"].GetInt64();
+  s.list.version = d["rev"].GetInt64();
   for (const Value& v : d["list"].GetArray()) {
     Row r{v, ok};
     ServerEntry e;
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -128,7 +128,7 @@
     ends.engine = &*engine;
     engine->Attach(ends, ends, ends);
     ServerList list;
-    list.rev = 1;
+    list.version = 1;
     for (const char* uid : {"s1", "s2"}) {
       ServerEntry e;
       e.uid = uid;
@@ -145,7 +145,7 @@
   }
   // A list from discovery. Its version is the next one unless the list states one.
   void Receive(ServerList list) {
-    if (list.rev < 0) list.rev = engine->directory().held().value_or(0) + 1;
+    if (list.version < 0) list.version = engine->directory().held().value_or(0) + 1;
     engine->ListReceived(list, Origin());
   }
   bool MaySendFirstByte(AttemptId attempt, const std::string& endpoint) const {
@@ -294,7 +294,7 @@
   w.Take(7);
   const auto [there, asked] = w.ends.attempts[0];
   ServerList changes;
-  changes.all = false;
+  changes.is_whole = false;
   changes.entries.push_back(
       {asked == 0 ? "s1" : "s2", "127.0.0.1:1", 0, 0, 0, Availability::kDraining, 1, 0s});
   w.Receive(changes);
@@ -319,8 +319,8 @@
   const auto [there, asked] = w.ends.attempts[0];
   const std::string drains = asked == 0 ? "s1" : "s2", stays = asked == 0 ? "s2" : "s1";
   ServerList part;
-  part.rev = 9;
-  part.all = true;
+  part.version = 9;
+  part.is_whole = true;
   part.entries.push_back({drains, "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
   part.entries.push_back({stays, "127.0.0.1:9", 0, 0, 0, Availability::kUp, 1, 0s});
   part.entries.push_back({"unknown", "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
@@ -329,10 +329,10 @@
   CHECK(w.engine->FindServer(asked)->availability == Availability::kDraining);
   CHECK(w.engine->FindServer(1 - asked)->endpoint == "127.0.0.1:1");
   CHECK(w.engine->FindServer(2) == nullptr);
-  CHECK(w.engine->ExportSnapshot(0).list.rev != 9);
+  CHECK(w.engine->ExportSnapshot(0).list.version != 9);
   ServerList back;  // the complete answer lists it in service again
-  back.rev = 10;
-  back.all = false;
+  back.version = 10;
+  back.is_whole = false;
   back.entries.push_back({drains, "127.0.0.1:1", 0, 0, 0, Availability::kUp, 1, 0s});
   w.Receive(back);
   CHECK(w.engine->FindServer(asked)->availability == Availability::kUp);
@@ -374,7 +374,7 @@
       {Invariant::kSentToServing,
        [](Fixture& w, AttemptId) {
          ServerList gone;
-         gone.rev = 9;
+         gone.version = 9;
          w.Receive(gone);
          w.now += 1s;
        }},
@@ -471,7 +471,7 @@
   Fixture w;
   REQUIRE(w.engine->Suspend("later", true));
   ServerList changes;
-  changes.all = false;
+  changes.is_whole = false;
   changes.entries.push_back({"later", "127.0.0.1:1", 0, 0, 0, Availability::kUp, 1, 0s});
   w.Receive(changes);
   CHECK(w.engine->FindServer(2)->availability == Availability::kDraining);
--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -98,8 +98,8 @@
       now += 1s;
       // Every list was requested before any arrived, so any of them may be late.
       if (draw(3) == 0)
-        directory.MergePart(list, Requested(2s, now, list.all ? std::nullopt : std::optional(1)));
-      directory.Merge(list, Requested(2s, now, list.all ? std::nullopt : std::optional(1)));
+        directory.MergePart(list, Requested(2s, now, list.is_whole ? std::nullopt : std::optional(1)));
+      directory.Merge(list, Requested(2s, now, list.is_whole ? std::nullopt : std::optional(1)));
     }
     CHECK(directory.held() == version);
     for (int n = 1; n <= 4; ++n) {
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -317,7 +317,7 @@
   std::string why;
   const auto read = ReadServerList(list(good), names, kLimits, why);
   REQUIRE(read);
-  CHECK(read->rev == 41);
+  CHECK(read->version == 41);
   const ServerEntry& e = read->entries.at(0);
   CHECK(e.zone == 1);
   CHECK(e.kind == 1);
@@ -358,8 +358,8 @@
     if (part) CHECK(part->entries.size() == complete);
     incremental.Feed(std::string_view(whole).substr(0, end));
     if (const auto fresh = incremental.TakeCompletedEntries()) {
-      CHECK(fresh->rev == 41);
-      CHECK_FALSE(fresh->all);
+      CHECK(fresh->version == 41);
+      CHECK_FALSE(fresh->is_whole);
       CHECK(fresh->entries.size() == 1);
       CHECK(fresh->entries[0].uid == (entries == 0 ? "s[1]\"}" : "s2"));
       entries += fresh->entries.size();
@@ -426,7 +426,7 @@
   CHECK(c.listen == "127.0.0.9:9");  // the environment variable overrides the file
   CHECK(c.name == "n1");
   CHECK(c.seed == 255);
-  CHECK(c.known.rev == 4);
+  CHECK(c.known.version == 4);
   CHECK(c.limits.idle == 3s);
   std::string priced = good;  // if a handshake has a price, connections are kept idle for longer
   priced.replace(priced.find("\"allowed\""), 0, R"("fees":{"handshake":0.08},)");
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -24,7 +24,7 @@
   Snapshot s;
   s.router = "n1";
   s.taken = 1000s;
-  s.list.rev = 41;
+  s.list.version = 41;
   s.list.entries = {{"s-1", "127.0.0.1:11", 0, 1, 2, Availability::kUp, 1.5, 900s},
                     {"s-2", "127.0.0.1:12", 1, 0, 0, Availability::kDraining, 1, 0s}};
   s.suspended = {"s-2"};
@@ -52,7 +52,7 @@
       std::string why;
       const auto text = ReadWhole(file(), kMostSnapshot, why);
       const auto got = text ? DecodeSnapshot(*text, why) : std::nullopt;
-      if (got && got->list.rev >= rev) return *got;
+      if (got && got->list.version >= rev) return *got;
       ::usleep(10000);
     }
   }
