--- a/lab/base/lag_meter.h
+++ b/lab/base/lag_meter.h
@@ -22,7 +22,7 @@
     ScheduleTick();
   }
   void Stop() {
-    if (loop_ != nullptr) loop_->deadlines().Drop(timer_);
+    if (loop_ != nullptr) loop_->deadlines().Cancel(timer_);
   }
   // The largest lag measured so far.
   Duration most() const { return max_lag_; }
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -129,7 +129,7 @@
   if (!resent && !idle.empty()) {
     connection = connections_.Find(idle.back())->get();
     idle.pop_back();
-    loop_.deadlines().Drop(connection->deadline);
+    loop_.deadlines().Cancel(connection->deadline);
   }
   if (connection != nullptr) {
     connection->try_index = try_index;
@@ -278,7 +278,7 @@
     if (connection.crowd)
       bufferevent_write(connection.buffer.get(), kReadyProbe.data(), kReadyProbe.size());
     if (connection.flood) return;
-    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Cancel(connection.deadline);
     return WriteTry(connection);
   }
   if (connection.flood) {
@@ -311,8 +311,8 @@
   client_try.end = end;
   client_try.ended = loop_.Now();
   connection.try_index = -1;
-  loop_.deadlines().Drop(connection.deadline);
-  loop_.deadlines().Drop(connection.leave_timer);
+  loop_.deadlines().Cancel(connection.deadline);
+  loop_.deadlines().Cancel(connection.leave_timer);
   const TryRecord done = client_try;
   const bool complete = end == TryEnd::kValue || end == TryEnd::kReceipt || end == TryEnd::kBusy ||
                         end == TryEnd::kFailed || end == TryEnd::kError;
@@ -374,8 +374,8 @@
   if (held == nullptr) return;
   const std::unique_ptr<Connection> connection = std::move(*held);
   connections_.Remove(id);
-  loop_.deadlines().Drop(connection->deadline);
-  loop_.deadlines().Drop(connection->leave_timer);
+  loop_.deadlines().Cancel(connection->deadline);
+  loop_.deadlines().Cancel(connection->leave_timer);
   std::erase(idle_[connection->client], id);
 }
 
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -65,7 +65,7 @@
   std::vector<Watch> watches;
   watches.swap(watches_);
   for (Watch& w : watches) {
-    loop().deadlines().Drop(w.deadline);
+    loop().deadlines().Cancel(w.deadline);
     if (Peer* peer = FindPeer(w.peer)) SendList(*peer, w.since, false);
   }
 }
@@ -195,7 +195,7 @@
 void Discovery::OnClosed(Peer& peer, bool) {
   std::erase_if(watches_, [&](Watch& w) {
     if (w.peer != peer.id) return false;
-    loop().deadlines().Drop(w.deadline);
+    loop().deadlines().Cancel(w.deadline);
     return true;
   });
 }
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -110,7 +110,7 @@
     if (it == active_by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
     const WorkQueue::Token token = it->second;
-    loop().deadlines().Drop(attempts_.Find(token)->deadline);
+    loop().deadlines().Cancel(attempts_.Find(token)->deadline);
     attempts_.Remove(token);
     active_by_record_.erase(it);
     if (const auto next = work_queue_.Finish(token)) StartWork(*next);
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -24,7 +24,7 @@
     return id;
   }
   // Cancels the deadline and clears `id`. Does nothing if it has already run or was never set.
-  void Drop(Id& id) {
+  void Cancel(Id& id) {
     due_.erase(id);
     id = {};
   }
@@ -33,7 +33,7 @@
   }
   // Runs the deadlines due at `now`. A deadline set during this call waits for the next call, so that one
   // that sets itself again cannot block the event loop.
-  void Run(Time now) {
+  void RunDue(Time now) {
     const std::uint64_t last_before = last_sequence_;
     while (!due_.empty()) {
       auto it = due_.begin();
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -303,7 +303,7 @@
   if (found == nullptr) return;
   Attempt attempt = *found;
   attempts_.Remove(id);
-  deadlines_.Drop(attempt.deadline);
+  deadlines_.Cancel(attempt.deadline);
   const Duration latency = now_() - attempt.sent;
   if (attempt.request == 0) {
     Queue(beechledge::ProbeResult{attempt.server, end.result, latency, end.report});
@@ -362,7 +362,7 @@
 // first bytes, and once a value has started there is no other way to serve it. Only an attempt whose server
 // becomes unresponsive is aborted.
 void Engine::RestartStallTimer(Attempt& attempt, AttemptId id) {
-  deadlines_.Drop(attempt.deadline);
+  deadlines_.Cancel(attempt.deadline);
   attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall, [this, id] {
     AbortAttempt(id, Result::kTimeout);
     Pump();
@@ -632,7 +632,7 @@
   if (!directory_.Find(uid) && !any) return false;
   if (!directory_.Suspend(uid)) return true;
   if (const auto back = resume_timers_.find(uid); back != resume_timers_.end()) {
-    deadlines_.Drop(back->second);
+    deadlines_.Cancel(back->second);
     resume_timers_.erase(back);
   }
   LogLine(Level::kInfo) << "server " << uid << " suspended by hand";
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -24,8 +24,8 @@
 
 AttemptPool::~AttemptPool() {
   for (Connection& connection : connections_) {
-    loop_.deadlines().Drop(connection.deadline);
-    loop_.deadlines().Drop(connection.send_deadline);
+    loop_.deadlines().Cancel(connection.deadline);
+    loop_.deadlines().Cancel(connection.send_deadline);
   }
   std::erase(budget_.pools, this);
 }
@@ -88,7 +88,7 @@
       continue;
     }
     std::erase(idle, connection.self);
-    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Cancel(connection.deadline);
     connection.idle = false;
     return &connection;
   }
@@ -163,7 +163,7 @@
 // All output was handed to the kernel: the attempt counts as sent from here on.
 void AttemptPool::OnWritten(Connection& connection) {
   loop_.RecordPollReturn();
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   if (!connection.written || connection.sent_reported || !connection.operation.request) return;
   connection.sent_reported = true;
   engine_.AttemptSent(connection.operation.attempt);
@@ -173,7 +173,7 @@
   loop_.RecordPollReturn();
   if (what & BEV_EVENT_CONNECTED) {
     connection.connected = true;
-    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Cancel(connection.deadline);
     return WriteOperation(connection);
   }
   if (connection.written && HandleLastAnswer(connection, what)) return;
@@ -211,7 +211,7 @@
     return;
   switch (HandleAnswer(connection, InputEnd::kOpen)) {
     case Parsed::kMore:
-      loop_.deadlines().Drop(connection.deadline);
+      loop_.deadlines().Cancel(connection.deadline);
       SetAnswerDeadline(connection, limits_.answer);
       return;
     case Parsed::kBad:
@@ -230,7 +230,7 @@
   bool keep = true;
   const Parsed got = Parse(Gathered(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
   const AttemptId attempt = connection.operation.attempt;
   const bool whole =
@@ -261,7 +261,7 @@
   const Parsed got = ParseHead(front, connection.operation, used, head, length, trailer, keep);
   if (got != Parsed::kDone || !length || *length <= limits_.value) return false;  // read it whole
   evbuffer_drain(in, used);
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   connection.streaming = true;
   connection.value_left = *length;
   connection.trailer = trailer;
@@ -324,7 +324,7 @@
 // was sent to the client. The backlog is checked again every 5 ms.
 void AttemptPool::PauseForBackpressure(Connection& connection) {
   bufferevent_disable(connection.buffer.get(), EV_READ);
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   connection.deadline =
       loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, it = connection.self] {
         it->deadline = {};
@@ -357,7 +357,7 @@
     return CloseConnection(connection);
   }
   busy_.erase(connection.operation.attempt);
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   connection.operation = {};
   connection.written = false;
   connection.idle = true;
@@ -379,8 +379,8 @@
 }
 
 void AttemptPool::CloseConnection(Connection& connection) {
-  loop_.deadlines().Drop(connection.deadline);
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   if (connection.idle) std::erase(idle_[connection.server], connection.self);
   busy_.erase(connection.operation.attempt);
   --budget_.open;
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -14,7 +14,7 @@
 // complete command: a command must be complete within Limits::speak after the connection was accepted or
 // after the command's first byte, and an idle connection is closed after Limits::rest.
 void ClientFront::SetTimeout(Client& client) {
-  loop_.deadlines().Drop(client.deadline);
+  loop_.deadlines().Cancel(client.deadline);
   // A client that waits for an answer, or is still receiving one, has no timeout here.
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return;
@@ -113,7 +113,7 @@
         },
         &client));
     event_add(client.discard.get(), nullptr);
-    loop_.deadlines().Drop(client.deadline);
+    loop_.deadlines().Cancel(client.deadline);
   }
   if (client.write_shut || !IsIdle(client)) return;
   client.write_shut = true;
@@ -153,8 +153,8 @@
       client->pending.empty() ? std::string_view() : client->pending.front().id;
   counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeEnd,
                               unanswered);
-  loop_.deadlines().Drop(client->deadline);
-  loop_.deadlines().Drop(client->close_check);
+  loop_.deadlines().Cancel(client->deadline);
+  loop_.deadlines().Cancel(client->close_check);
   LeaveIdleQueue(*client);
   client->discard.reset();
   client->buffer.reset();
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -123,7 +123,7 @@
 void ClientFront::PauseAccepting(Duration pause) {
   if (!listening_) return;
   listening_ = false;
-  loop_.deadlines().Drop(accept_queue_drained_);
+  loop_.deadlines().Cancel(accept_queue_drained_);
   if (accept_queue_empty_at_ == Time(0)) accept_queue_empty_at_ = loop_.Now();
   evconnlistener_disable(listener_.get());
   loop_.deadlines().Set(loop_.Now() + pause, [this] { ResumeAccepting(); });
@@ -406,7 +406,7 @@
 // would report. Guards against further work for it: its attempts are abandoned like those of any other
 // client that closes.
 void ClientFront::ScheduleCloseCheck(Client& client) {
-  loop_.deadlines().Drop(client.close_check);
+  loop_.deadlines().Cancel(client.close_check);
   client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.gone_look, [this, id = client.id] {
     Client& at = **clients_.Find(id);
     at.close_check = {};
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -156,7 +156,7 @@
 }
 
 void DiscoveryWatch::SetTimer() {
-  loop_.deadlines().Drop(deadline_);
+  loop_.deadlines().Cancel(deadline_);
   const Time next = refresher_.Next();
   if (next == Time::max()) return;
   deadline_ = loop_.deadlines().Set(next, [this] {
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -31,7 +31,7 @@
 }
 
 Door::~Door() {
-  callers_.Each([&](std::uint64_t, auto& caller) { loop_.deadlines().Drop(caller->deadline); });
+  callers_.Each([&](std::uint64_t, auto& caller) { loop_.deadlines().Cancel(caller->deadline); });
 }
 
 std::uint16_t Door::port() const {
@@ -95,7 +95,7 @@
   if (!answer.kept) return Respond(caller, answer.status, answer.body, answer.type);
   // The answer states whether the change was stored. The loop does not wait for the disk.
   caller.answered = true;
-  loop_.deadlines().Drop(caller.deadline);
+  loop_.deadlines().Cancel(caller.deadline);
   caller.deadline = {};
   router_.WhenKept([this, id = caller.id, answer](const std::string& why) {
     auto* found = callers_.Find(id);
@@ -109,7 +109,7 @@
   bufferevent_write(caller.buffer.get(), text.data(), text.size());
   // Further input is read and discarded, so that closing does not send a reset that could destroy the
   // answer. A caller that does not receive the answer is closed after Limits::door_linger.
-  loop_.deadlines().Drop(caller.deadline);
+  loop_.deadlines().Cancel(caller.deadline);
   caller.deadline =
       loop_.deadlines().Set(loop_.Now() + limits_.door_linger, [this, id = caller.id] { Close(id); });
 }
@@ -133,7 +133,7 @@
   const std::unique_ptr<Caller> caller = std::move(*found);
   callers_.Remove(id);
   order_.erase(caller->position);
-  loop_.deadlines().Drop(caller->deadline);
+  loop_.deadlines().Cancel(caller->deadline);
 }
 
 }  // namespace brasswood
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -69,7 +69,7 @@
     return;
   }
   deferred_ = false;
-  deadlines_.Run(Now());
+  deadlines_.RunDue(Now());
   ArmTimer();
 }
 
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -43,10 +43,10 @@
   });
   deadlines.Set(1s, [&] { ran += 'b'; });
   Deadlines::Id dropped = deadlines.Set(1s, [&] { ran += '!'; });
-  deadlines.Drop(dropped);
-  deadlines.Run(1s);
+  deadlines.Cancel(dropped);
+  deadlines.RunDue(1s);
   CHECK(ran == "ab");
-  deadlines.Run(2s);
+  deadlines.RunDue(2s);
   CHECK(ran == "abxc");
   CHECK_FALSE(deadlines.Next());
 }
@@ -161,7 +161,7 @@
   void AdvanceTo(Time t) {
     while (deadlines.Next() && *deadlines.Next() <= t) {
       now = std::max(now, *deadlines.Next());
-      deadlines.Run(now);
+      deadlines.RunDue(now);
     }
     now = std::max(now, t);
   }
