--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -36,7 +36,7 @@
     return now < time_up() ? Phase::kRefusing : Phase::kTimeUp;
   }
   // Whether a request that is read now may be forwarded.
-  bool TakesWork(Time now) const { return At(now) < Phase::kRefusing; }
+  bool AcceptsWork(Time now) const { return At(now) < Phase::kRefusing; }
 
  private:
   const Limits& limits_;
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -272,7 +272,7 @@
     ++counters_.bad_commands;
     return Reply(client, "CLIENT_ERROR " + error + "\r\n");
   }
-  if (!shutdown_.TakesWork(loop_.Now())) return RefuseRequest(client, request.content->id);
+  if (!shutdown_.AcceptsWork(loop_.Now())) return RefuseRequest(client, request.content->id);
   Pending pending;
   pending.id = request.content->id;
   const std::uint64_t number = client.first_number + client.pending.size();
