--- a/lab/explore/list_caller.cpp
+++ b/lab/explore/list_caller.cpp
@@ -17,7 +17,7 @@
   void Answered(Time now, CallId id, std::int64_t version, ListActions& out) override {
     refresher_.Answered(now, id, version, out);
   }
-  void Failed(Time now, CallId id, CallEnd why, ListActions& out) override {
+  void Failed(Time now, CallId id, CallEndReason why, ListActions& out) override {
     refresher_.Failed(now, id, why, out);
   }
   void Wake(Time now, ListActions& out) override { refresher_.Wake(now, out); }
@@ -36,7 +36,7 @@
     if (to == source_ && call_ != 0) return;
     source_ = to;
     held_.reset();
-    if (call_ != 0) out.push_back(CloseCall{call_, CallEnd::kMoved});
+    if (call_ != 0) out.push_back(CloseCall{call_, CallEndReason::kMoved});
     Open(now, out);
   }
   void Connected(Time now, CallId id) override {
@@ -53,13 +53,13 @@
     held_ = version;
     Open(now, out);
   }
-  void Failed(Time now, CallId id, CallEnd, ListActions&) override {
+  void Failed(Time now, CallId id, CallEndReason, ListActions&) override {
     if (id == call_) FailCall(now);
   }
   void Wake(Time now, ListActions& out) override {
     if (now < deadline_) return;
     if (call_ == 0) return Open(now, out);
-    out.push_back(CloseCall{call_, CallEnd::kNoAnswer});
+    out.push_back(CloseCall{call_, CallEndReason::kNoAnswer});
     FailCall(now);
   }
   Time Next() const override { return deadline_; }
--- a/lab/explore/list_caller.h
+++ b/lab/explore/list_caller.h
@@ -17,7 +17,7 @@
   virtual void Connected(Time now, CallId id) = 0;
   virtual void Progress(Time now, CallId id) = 0;
   virtual void Answered(Time now, CallId id, std::int64_t version, ListActions& out) = 0;
-  virtual void Failed(Time now, CallId id, CallEnd why, ListActions& out) = 0;
+  virtual void Failed(Time now, CallId id, CallEndReason why, ListActions& out) = 0;
   virtual void Wake(Time now, ListActions& out) = 0;
   virtual Time Next() const = 0;
 };
--- a/lab/explore/list_exploration.cpp
+++ b/lab/explore/list_exploration.cpp
@@ -136,7 +136,7 @@
 
   void Dispatch(std::size_t r, const CallerDriver::Event& event) { routers_[r]->driver->Handle(event); }
   void Close(std::size_t r, const CloseCall& close) {
-    Trace(r, "closes", close.id, kCallEndNames[static_cast<std::size_t>(close.why)]);
+    Trace(r, "closes", close.id, kCallEndReasonNames[static_cast<std::size_t>(close.reason)]);
     routers_[r]->calls.erase(close.id);
   }
   void MoveRouter(std::size_t r) {
@@ -190,9 +190,9 @@
     if (it == router.calls.end()) return;
     Call& call = it->second;
     if (call.outcome == CallOutcome::kLost) return;
-    if (call.outcome == CallOutcome::kRefused) return Fail(r, id, CallEnd::kNotConnected);
+    if (call.outcome == CallOutcome::kRefused) return Fail(r, id, CallEndReason::kNotConnected);
     Dispatch(r, [&](ListCaller& c, ListActions&) { c.Connected(time_.now(), id); });
-    if (call.outcome == CallOutcome::kBusy) return Fail(r, id, CallEnd::kRefused);
+    if (call.outcome == CallOutcome::kBusy) return Fail(r, id, CallEndReason::kRefused);
     const bool has_change = !call.since || *call.since < version_;
     if (has_change || wait == Duration(0)) return Answer(r, id);
     call.held = true;
@@ -246,15 +246,15 @@
       case CallOutcome::kStopped:
         return Dispatch(r, [&](ListCaller& c, ListActions&) { c.Progress(time_.now(), id); });
       case CallOutcome::kReset:
-        return Fail(r, id, CallEnd::kBroken);
+        return Fail(r, id, CallEndReason::kBroken);
       case CallOutcome::kOld:
-        return Fail(r, id, CallEnd::kOlderList);
+        return Fail(r, id, CallEndReason::kOlderList);
       default:
         return;  // accepted, and never answered
     }
   }
-  void Fail(std::size_t r, CallId id, CallEnd why) {
-    Trace(r, "call", id, "ended:", kCallEndNames[static_cast<std::size_t>(why)]);
+  void Fail(std::size_t r, CallId id, CallEndReason why) {
+    Trace(r, "call", id, "ended:", kCallEndReasonNames[static_cast<std::size_t>(why)]);
     routers_[r]->calls.erase(id);
     Dispatch(r, [&](ListCaller& c, ListActions& out) { c.Failed(time_.now(), id, why, out); });
   }
--- a/lab/explore/list_press.cpp
+++ b/lab/explore/list_press.cpp
@@ -111,7 +111,7 @@
     for (const CallId each : ended) {
       if (routers_[r]->calls.erase(each) == 0) continue;
       Dispatch(r, [&](ListCaller& caller, ListActions& out) {
-        caller.Failed(time_.now(), each, CallEnd::kRefused, out);
+        caller.Failed(time_.now(), each, CallEndReason::kRefused, out);
       });
     }
   }
--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -67,7 +67,7 @@
   const bool watch = version_.has_value() && !ask_first_ && !limits_.agent;
   if (!watch) {
     RequireRefresh(now, Duration(0));
-    return Step(now, CallEnd::kAnswered, out);
+    return Step(now, CallEndReason::kAnswered, out);
   }
   Open(now, target_, watch, 0, out);
   calls_.back().during_refresh = true;  // changes since the list held may have been sent long ago
@@ -76,9 +76,9 @@
 void ListRefresher::AskWhole(Time now, ListActions& out) {
   following_ = true;
   version_.reset();
-  CloseIf([this](const Call& call) { return call.source == target_; }, CallEnd::kMadeWay, out);
+  CloseIf([this](const Call& call) { return call.source == target_; }, CallEndReason::kReplaced, out);
   RequireRefresh(now, Duration(0));
-  Step(now, CallEnd::kMadeWay, out);
+  Step(now, CallEndReason::kReplaced, out);
 }
 
 // Guards against waiting for the old service to fail, and against receiving nothing until the new one
@@ -89,20 +89,20 @@
   if (to == target_) {
     // An agent is asked in any case, because it serves no other router.
     if (!AnyCallToTarget() || limits_.agent) RequireRefresh(now, Duration(0));
-    return Step(now, CallEnd::kMoved, out);
+    return Step(now, CallEndReason::kMoved, out);
   }
   target_ = to;
   if (!moving() && Watching()) {
-    CloseAllButTarget(CallEnd::kMoved, out);
+    CloseAllButTarget(CallEndReason::kMoved, out);
     refresh_needed_ = false;
-    return Step(now, CallEnd::kMoved, out);
+    return Step(now, CallEndReason::kMoved, out);
   }
   LimitIntermediateCalls(out);
   pacing_.Forget();
   const Duration wait = WaitAfterMove(now);
   refresh_needed_ = false;
   RequireRefresh(now, wait);
-  Step(now, CallEnd::kMoved, out);
+  Step(now, CallEndReason::kMoved, out);
 }
 
 // The time until the first call to the new address. Guards against several configurations in a row that
@@ -147,32 +147,32 @@
   if (call.source == target_) {
     pacing_.ListReceived(now);
     current_ = target_;
-    CloseAllButTarget(CallEnd::kMoved, out);
-    CloseIf([](const Call&) { return true; }, CallEnd::kMadeWay, out);
+    CloseAllButTarget(CallEndReason::kMoved, out);
+    CloseIf([](const Call&) { return true; }, CallEndReason::kReplaced, out);
     refresh_needed_ = ask_first_ = false;
     next_open_ = Time::max();
     unanswered_ = descriptor_failures_ = 0;
   }
   if (call.source == target_ || call.source == current_) Open(now, call.source, true, id, out);
   if (moving() && !AnyCallToTarget()) RequireRefresh(now, Duration(0));
-  Step(now, CallEnd::kAnswered, out);
+  Step(now, CallEndReason::kAnswered, out);
   return true;
 }
 
-void ListRefresher::Failed(Time now, CallId id, CallEnd why, ListActions& out) {
+void ListRefresher::Failed(Time now, CallId id, CallEndReason why, ListActions& out) {
   const Call* found = Find(id);
   if (found == nullptr) return;
   const SourceId source = found->source;
   std::erase_if(calls_, [id](const Call& c) { return c.id == id; });
-  const bool out_of_step = why == CallEnd::kOlderList || why == CallEnd::kNoBase;
+  const bool out_of_step = why == CallEndReason::kOlderList || why == CallEndReason::kNoBase;
   if (out_of_step && source == current_) version_.reset();
-  if (why == CallEnd::kRefused) overloaded_until_ = now + kOverloadedFor;
+  if (why == CallEndReason::kRefused) overloaded_until_ = now + kOverloadedFor;
   if (source == target_ || (moving() && !AnyCallToTarget())) AfterFailure(now, why);
   Step(now, why, out);
 }
 
 void ListRefresher::Wake(Time now, ListActions& out) {
-  const CallEnd why = CheckLimits(now, out);
+  const CallEndReason why = CheckLimits(now, out);
   Step(now, why, out);
 }
 
@@ -228,14 +228,14 @@
   out.push_back(OpenCall{call.id, source, call.whole ? std::nullopt : version_, call.wait, reuse});
 }
 
-void ListRefresher::Close(CallId id, CallEnd why, ListActions& out) {
+void ListRefresher::Close(CallId id, CallEndReason why, ListActions& out) {
   std::erase_if(calls_, [id](const Call& c) { return c.id == id; });
   out.push_back(CloseCall{id, why});
 }
 
 // `closes` is called once for each call, the oldest first.
 template <class Predicate>
-void ListRefresher::CloseIf(Predicate closes, CallEnd why, ListActions& out) {
+void ListRefresher::CloseIf(Predicate closes, CallEndReason why, ListActions& out) {
   const std::vector<Call> before = calls_;
   for (const Call& call : before) {
     if (closes(call)) Close(call.id, why, out);
@@ -243,7 +243,7 @@
 }
 
 // Closes all calls except those to the target.
-void ListRefresher::CloseAllButTarget(CallEnd why, ListActions& out) {
+void ListRefresher::CloseAllButTarget(CallEndReason why, ListActions& out) {
   CloseIf([this](const Call& call) { return call.source != target_; }, why, out);
 }
 
@@ -253,7 +253,7 @@
   const auto in_excess = [&](const Call& call) {
     return call.source != target_ && call.source != current_ && ++intermediate > kMaxIntermediateCalls;
   };
-  CloseIf(in_excess, CallEnd::kMoved, out);
+  CloseIf(in_excess, CallEndReason::kMoved, out);
 }
 
 // Makes room for another call to the target. The oldest call stays open; of the others, the one that has
@@ -263,7 +263,7 @@
   for (const Call& call : calls_) {
     if (call.source == target_) ids.push_back(call.id);
   }
-  if (ids.size() >= kMaxCalls) Close(ids[1], CallEnd::kMadeWay, out);
+  if (ids.size() >= kMaxCalls) Close(ids[1], CallEndReason::kReplaced, out);
 }
 
 // ---- When the next call is opened ----
@@ -328,33 +328,33 @@
 // Guards against a change that discovery wrote and that was lost in transit, since the router counts as
 // notified of it: after a broken call the next call is opened soon. After a refusal, discovery lacks
 // capacity or is down, and the waits of ListCalls spread the next calls over the fleet.
-void ListRefresher::AfterFailure(Time now, CallEnd why) {
+void ListRefresher::AfterFailure(Time now, CallEndReason why) {
   const bool first = !refresh_needed_;
-  const bool unanswered = why == CallEnd::kConnectTime || why == CallEnd::kNoAnswer;
+  const bool unanswered = why == CallEndReason::kConnectTime || why == CallEndReason::kNoAnswer;
   if (!unanswered && unanswered_ > 0) --unanswered_;
-  if (why == CallEnd::kNoDescriptor && ++descriptor_failures_ <= kMaxDescriptorRetries) {
+  if (why == CallEndReason::kNoDescriptor && ++descriptor_failures_ <= kMaxDescriptorRetries) {
     RequireRefresh(now, kDescriptorRetryDelay);
     next_open_ = now + kDescriptorRetryDelay;
     return;
   }
   descriptor_failures_ = 0;
   switch (why) {
-    case CallEnd::kSilent:
+    case CallEndReason::kSilent:
       return RequireRefresh(now, Duration(0));
-    case CallEnd::kConnectTime:
-    case CallEnd::kNoAnswer:
+    case CallEndReason::kConnectTime:
+    case CallEndReason::kNoAnswer:
       return RequireRefresh(now, first ? Duration(0) : next_open_ - now);
-    case CallEnd::kBroken:
-    case CallEnd::kBadAnswer:
-    case CallEnd::kNoBase:
-    case CallEnd::kStalled:
+    case CallEndReason::kBroken:
+    case CallEndReason::kBadAnswer:
+    case CallEndReason::kNoBase:
+    case CallEndReason::kStalled:
       if (TakeQuickRetry(now)) {
         const Duration quick =
             std::chrono::duration_cast<Duration>(limits_.drain_grace / 8 * (0.5 + RandomUnit()));
         return RequireRefresh(now, first ? std::min(limits_.apart, limits_.drain_grace / 4) : quick);
       }
       return BackOff(now);
-    case CallEnd::kOlderList:
+    case CallEndReason::kOlderList:
       // The source is working, but lags behind the others or was restarted. More calls in quick succession
       // do not change that.
       RequireRefresh(now, first ? limits_.drain_grace / 4 : Duration(0));
@@ -388,18 +388,18 @@
   return next;
 }
 
-CallEnd ListRefresher::CheckLimits(Time now, ListActions& out) {
-  CallEnd last = CallEnd::kAnswered;
+CallEndReason ListRefresher::CheckLimits(Time now, ListActions& out) {
+  CallEndReason last = CallEndReason::kAnswered;
   const std::vector<Call> before = calls_;
   for (const Call& call : before) {
     if (DeadlineOf(call) > now) continue;
     if (call.first_byte) CheckAnswering(now, call.id);
     const Call* still = Find(call.id);
     if (still == nullptr || DeadlineOf(*still) > now) continue;
-    last = !call.connected           ? CallEnd::kConnectTime
-           : call.first_byte         ? CallEnd::kStalled
-           : call.wait > Duration(0) ? CallEnd::kSilent
-                                     : CallEnd::kNoAnswer;
+    last = !call.connected           ? CallEndReason::kConnectTime
+           : call.first_byte         ? CallEndReason::kStalled
+           : call.wait > Duration(0) ? CallEndReason::kSilent
+                                     : CallEndReason::kNoAnswer;
     Close(call.id, last, out);
     if (call.source == target_) AfterFailure(now, last);
   }
@@ -425,7 +425,7 @@
 
 // ---- The state ----
 
-void ListRefresher::Step(Time now, CallEnd why, ListActions& out) {
+void ListRefresher::Step(Time now, CallEndReason why, ListActions& out) {
   if (following_ && refresh_needed_ && now >= next_open_) {
     MakeRoomForCall(out);
     Open(now, target_, false, 0, out);
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -50,7 +50,7 @@
     "unheard", "following", "refreshing", "backing off"};
 
 // Why a call ended, or why the list's state changed.
-enum class CallEnd : std::size_t {
+enum class CallEndReason : std::size_t {
   kAnswered,      // with a list that was accepted
   kRefused,       // 503, or another answer that is not a list
   kBroken,        // its connection was closed before the answer was complete
@@ -63,11 +63,11 @@
   kSilent,        // a watch: no byte arrived within its wait and the grace after it
   kStalled,       // an answer that started and did not continue
   kNoAnswer,      // no byte arrived within the longest time that a call may wait
-  kMadeWay,       // another call was answered or replaced it
+  kReplaced,       // another call was answered or replaced it
   kMoved,         // a new configuration names another address
   kCount,
 };
-inline constexpr std::array<const char*, static_cast<std::size_t>(CallEnd::kCount)> kCallEndNames = {
+inline constexpr std::array<const char*, static_cast<std::size_t>(CallEndReason::kCount)> kCallEndReasonNames = {
     "answered",
     "refused",
     "connection lost",
@@ -94,11 +94,11 @@
 };
 struct CloseCall {
   CallId id = 0;
-  CallEnd why = CallEnd::kMadeWay;
+  CallEndReason reason = CallEndReason::kReplaced;
 };
 struct StateChanged {
   ListState from = ListState::kNoList, to = ListState::kNoList;
-  CallEnd why = CallEnd::kAnswered;
+  CallEndReason reason = CallEndReason::kAnswered;
 };
 using ListAction = std::variant<OpenCall, CloseCall, StateChanged>;
 using ListActions = std::vector<ListAction>;
@@ -141,7 +141,7 @@
   // is known now. Returns false if the call had already ended.
   bool Answered(Time now, CallId id, std::int64_t version, ListActions& out);
   // The call ended without a list, and its connection is closed.
-  void Failed(Time now, CallId id, CallEnd why, ListActions& out);
+  void Failed(Time now, CallId id, CallEndReason why, ListActions& out);
   // Handles what is due at `now` (see Next). May be called early.
   void Wake(Time now, ListActions& out);
 
@@ -181,18 +181,18 @@
   bool AnyCallToTarget() const;
   Time DeadlineOf(const Call& call) const;
   void Open(Time now, SourceId source, bool watch, CallId reuse, ListActions& out);
-  void Close(CallId id, CallEnd why, ListActions& out);
+  void Close(CallId id, CallEndReason why, ListActions& out);
   template <class Predicate>
-  void CloseIf(Predicate closes, CallEnd why, ListActions& out);
-  void CloseAllButTarget(CallEnd why, ListActions& out);
+  void CloseIf(Predicate closes, CallEndReason why, ListActions& out);
+  void CloseAllButTarget(CallEndReason why, ListActions& out);
   void LimitIntermediateCalls(ListActions& out);
   void MakeRoomForCall(ListActions& out);
   void RequireRefresh(Time now, Duration wait);
-  void AfterFailure(Time now, CallEnd why);
+  void AfterFailure(Time now, CallEndReason why);
   void BackOff(Time now);
-  CallEnd CheckLimits(Time now, ListActions& out);
+  CallEndReason CheckLimits(Time now, ListActions& out);
   void CheckAnswering(Time now, CallId id);
-  void Step(Time now, CallEnd why, ListActions& out);
+  void Step(Time now, CallEndReason why, ListActions& out);
   Duration NextGap(Time now);
   Duration WaitAfterMove(Time now) const;
   Duration ConnectLimit() const;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -38,7 +38,7 @@
   return age ? std::chrono::duration_cast<std::chrono::milliseconds>(*age).count() : -1;
 }
 
-const char* NameOf(CallEnd why) { return kCallEndNames[static_cast<std::size_t>(why)]; }
+const char* NameOf(CallEndReason why) { return kCallEndReasonNames[static_cast<std::size_t>(why)]; }
 
 }  // namespace
 
@@ -103,8 +103,8 @@
       std::visit([this](const auto& a) { Execute(a); }, action);
     }
     for (const CallId id : std::exchange(failed_connects_, {})) {
-      ++counters_.ended[static_cast<std::size_t>(CallEnd::kNoDescriptor)];
-      refresher_.Failed(loop_.Now(), id, CallEnd::kNoDescriptor, actions);
+      ++counters_.ended[static_cast<std::size_t>(CallEndReason::kNoDescriptor)];
+      refresher_.Failed(loop_.Now(), id, CallEndReason::kNoDescriptor, actions);
     }
   }
   reusable_.reset();
@@ -135,15 +135,15 @@
 }
 
 void DiscoveryWatch::Execute(const CloseCall& action) {
-  ++counters_.ended[static_cast<std::size_t>(action.why)];
+  ++counters_.ended[static_cast<std::size_t>(action.reason)];
   const auto call = calls_.find(action.id);
   if (call == calls_.end()) return;
   const SourceId source = call->second->origin.source;
   calls_.erase(call);
-  if (action.why == CallEnd::kMadeWay || action.why == CallEnd::kMoved) {
-    LogLine(Level::kDebug) << "discovery: call " << action.id << ' ' << NameOf(action.why);
+  if (action.reason == CallEndReason::kReplaced || action.reason == CallEndReason::kMoved) {
+    LogLine(Level::kDebug) << "discovery: call " << action.id << ' ' << NameOf(action.reason);
   } else {
-    LogFailure(action.id, source, NameOf(action.why));
+    LogFailure(action.id, source, NameOf(action.reason));
   }
 }
 
@@ -151,7 +151,7 @@
   const auto age = ListAge();
   LogLine line(Level::kInfo);
   line << "discovery: list " << kListStateNames[static_cast<std::size_t>(action.from)] << " -> "
-       << kListStateNames[static_cast<std::size_t>(action.to)] << " (" << NameOf(action.why) << ")";
+       << kListStateNames[static_cast<std::size_t>(action.to)] << " (" << NameOf(action.reason) << ")";
   if (age) line << ", age " << AgeInMs(age) << " ms";
 }
 
@@ -221,7 +221,7 @@
   // An orderly close ends an answer that states no length.
   if ((what & BEV_EVENT_EOF) && HandleAnswer(*calls_.at(id), InputEnd::kClosed) != Parsed::kMore) return;
   const bool connected = calls_.at(id)->connected;
-  Fail(id, connected ? CallEnd::kBroken : CallEnd::kNotConnected);
+  Fail(id, connected ? CallEndReason::kBroken : CallEndReason::kNotConnected);
 }
 
 // ---- Answers ----
@@ -235,7 +235,7 @@
   if (got == Parsed::kMore) {
     HandleEntries(call);
   } else if (got == Parsed::kBad) {
-    Fail(call.id, CallEnd::kBadAnswer);
+    Fail(call.id, CallEndReason::kBadAnswer);
   } else {
     // Guards against bytes after an answer, which would be parsed as the start of the next one.
     const bool keep = call.answer.answer().keep && input != InputEnd::kClosed && call.answer.surplus() == 0;
@@ -269,24 +269,24 @@
 void DiscoveryWatch::HandleList(Call& call, bool keep) {
   const CallId id = call.id;
   const HttpAnswer answer = call.answer.TakeAnswer();
-  if (answer.status != 200) return Fail(id, CallEnd::kRefused, "status " + std::to_string(answer.status));
+  if (answer.status != 200) return Fail(id, CallEndReason::kRefused, "status " + std::to_string(answer.status));
   std::string why;
   const auto list = ReadServerList(answer.body, names_, limits_, why);
-  if (!list) return Fail(id, CallEnd::kBadAnswer, "server list refused: " + why);
+  if (!list) return Fail(id, CallEndReason::kBadAnswer, "server list refused: " + why);
   const ListOrigin origin = CurrentOrigin(call);
   const ListVerdict verdict = engine_.directory().Classify(*list, origin);
   if (verdict != ListVerdict::kTaken && verdict != ListVerdict::kRestartTaken) {
     const std::string received =
         (list->is_whole ? "a list of version " : "changes of version ") + std::to_string(list->version);
     if (verdict == ListVerdict::kNoBase) {
-      Fail(id, CallEnd::kNoBase, received + ", asked for from a version that is not held");
+      Fail(id, CallEndReason::kNoBase, received + ", asked for from a version that is not held");
     } else {
-      Fail(id, CallEnd::kOlderList, received + ", older than what is held");
+      Fail(id, CallEndReason::kOlderList, received + ", older than what is held");
     }
     engine_.ListReceived(*list, origin);
     return;
   }
-  ++counters_.ended[static_cast<std::size_t>(CallEnd::kAnswered)];
+  ++counters_.ended[static_cast<std::size_t>(CallEndReason::kAnswered)];
   counters_.consecutive_failures = 0;
   if (keep) reusable_ = std::move(call.buffer);
   reusable_call_ = id;
@@ -299,7 +299,7 @@
   engine_.ListReceived(*list, origin);
 }
 
-void DiscoveryWatch::Fail(CallId id, CallEnd why, const std::string& detail) {
+void DiscoveryWatch::Fail(CallId id, CallEndReason why, const std::string& detail) {
   const SourceId source = calls_.at(id)->origin.source;
   ++counters_.ended[static_cast<std::size_t>(why)];
   calls_.erase(id);
@@ -327,7 +327,7 @@
       << " connections=" << c.connections << " partial=" << c.partial
       << " most_failed_in_a_row=" << c.max_consecutive_failures;
   for (std::size_t i = 0; i < c.ended.size(); ++i) {
-    std::string name = kCallEndNames[i];
+    std::string name = kCallEndReasonNames[i];
     std::replace(name.begin(), name.end(), ' ', '_');
     out << ' ' << name << '=' << c.ended[i];
   }
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -29,7 +29,7 @@
   std::uint64_t partial = 0;               // answers whose entries were used before the answer was complete
   std::uint64_t consecutive_failures = 0;  // since the last answer that was accepted
   std::uint64_t max_consecutive_failures = 0;
-  std::array<std::uint64_t, static_cast<std::size_t>(CallEnd::kCount)> ended{};
+  std::array<std::uint64_t, static_cast<std::size_t>(CallEndReason::kCount)> ended{};
 };
 
 class DiscoveryWatch : public DiscoverySource {
@@ -84,7 +84,7 @@
   void HandleEntries(Call& call);
   void HandleList(Call& call, bool keep);
   ListOrigin CurrentOrigin(const Call& call) const;
-  void Fail(CallId id, CallEnd why, const std::string& detail = {});
+  void Fail(CallId id, CallEndReason why, const std::string& detail = {});
   void LogFailure(CallId id, SourceId source, const std::string& reason);
 
   Loop& loop_;
