--- a/lab/explore/directory_exploration.cpp
+++ b/lab/explore/directory_exploration.cpp
@@ -38,7 +38,7 @@
     if (fault_ == DirectoryFault::kBaseForgotten) origin.since = held;
     const std::set<std::string> drained = Drained();
     const ListVerdict verdict = directory_.Merge(list, origin).verdict;
-    if (verdict == ListVerdict::kTaken) InjectFault(list, drained, origin.notified_at);
+    if (verdict == ListVerdict::kApplied) InjectFault(list, drained, origin.notified_at);
     return verdict;
   }
   void MergePart(const ServerList& part, const ListOrigin& origin) {
@@ -286,7 +286,7 @@
           std::chrono::duration<double>(answer.origin.requested_at).count(), "source", answer.origin.source,
           kListVerdictNames[static_cast<std::size_t>(verdict)]);
     if (BegunBeforeRestart(answer)) return;
-    if (verdict == ListVerdict::kRestartTaken) expected_.Clear();
+    if (verdict == ListVerdict::kRestartApplied) expected_.Clear();
     Record(answer);
   }
   bool BegunBeforeRestart(const Answer& answer) const {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -503,8 +503,8 @@
   ++counters_.lists;
   const DirectoryUpdate update = directory_.Merge(list, origin);
   LogVerdict(update, list, origin);
-  if (update.verdict == ListVerdict::kRestartTaken) availability_record_.Reset();
-  const bool whole = update.verdict == ListVerdict::kTaken || update.verdict == ListVerdict::kRestartTaken;
+  if (update.verdict == ListVerdict::kRestartApplied) availability_record_.Reset();
+  const bool whole = update.verdict == ListVerdict::kApplied || update.verdict == ListVerdict::kRestartApplied;
   if (whole) {
     availability_record_.RecordList(list, origin.received_at);
   } else if (update.verdict == ListVerdict::kNoBase) {
@@ -530,7 +530,7 @@
 
 void Engine::LogVerdict(const DirectoryUpdate& update, const ServerList& list,
                         const ListOrigin& origin) const {
-  if (update.verdict == ListVerdict::kTaken) return;
+  if (update.verdict == ListVerdict::kApplied) return;
   LogLine(Level::kInfo) << "list of version " << list.version << " from source " << origin.source << ", call "
                         << origin.call << ": "
                         << kListVerdictNames[static_cast<std::size_t>(update.verdict)] << "; asked for "
--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -22,10 +22,10 @@
   if (origin.requested_at < restarted_) return ListVerdict::kOlder;
   if (held_ && list.version < *held_) {
     if (origin.requested_at <= held_confirmed_) return ListVerdict::kOlder;
-    return RestartConfirmed(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
+    return RestartConfirmed(list, origin) ? ListVerdict::kRestartApplied : ListVerdict::kDoubted;
   }
   const bool has_base = list.is_whole || (origin.since && held_ && *origin.since <= *held_);
-  return has_base ? ListVerdict::kTaken : ListVerdict::kNoBase;
+  return has_base ? ListVerdict::kApplied : ListVerdict::kNoBase;
 }
 
 DirectoryUpdate ServerDirectory::Merge(const ServerList& list, const ListOrigin& origin) {
@@ -40,7 +40,7 @@
     case ListVerdict::kNoBase:
       ApplyDrains(list, {list.version, true}, origin, update);
       return update;
-    case ListVerdict::kRestartTaken:
+    case ListVerdict::kRestartApplied:
       restarted_ = origin.received_at;
       for (Record& record : records_) {
         record.stamp = {};
@@ -64,7 +64,7 @@
     update.verdict = ListVerdict::kNotNewer;
     return update;
   }
-  update.verdict = ListVerdict::kPartTaken;
+  update.verdict = ListVerdict::kPartApplied;
   ApplyDrains(part, {part.version, true}, origin, update);
   return update;
 }
--- a/src/discovery/server_directory.h
+++ b/src/discovery/server_directory.h
@@ -53,13 +53,13 @@
 
 // The result of merging a list.
 enum class ListVerdict : std::size_t {
-  kTaken,
+  kApplied,
   kOlder,         // late: it was requested before the version held arrived
   kNoBase,        // changes from a version that is not held: only drains and removals were applied
   kDoubted,       // older than the version held, although requested later
-  kRestartTaken,  // discovery restarted with lower versions
+  kRestartApplied,  // discovery restarted with lower versions
   kNotNewer,      // a part of an answer that is not newer than the version held
-  kPartTaken,     // drains and removals of a part were applied
+  kPartApplied,     // drains and removals of a part were applied
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(ListVerdict::kCount)> kListVerdictNames =
@@ -68,7 +68,7 @@
 
 // What a merge changed. The caller has to act on it.
 struct DirectoryUpdate {
-  ListVerdict verdict = ListVerdict::kTaken;
+  ListVerdict verdict = ListVerdict::kApplied;
   std::vector<ServerId> named;    // mentioned, in the list's order; their state may be unchanged
   std::vector<ServerId> changed;  // their availability changed
   std::vector<ServerId> moved;    // idle connections lead to an old address or to an earlier process
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -275,7 +275,7 @@
   if (!list) return Fail(id, CallEndReason::kBadAnswer, "server list refused: " + why);
   const ListOrigin origin = CurrentOrigin(call);
   const ListVerdict verdict = engine_.directory().Classify(*list, origin);
-  if (verdict != ListVerdict::kTaken && verdict != ListVerdict::kRestartTaken) {
+  if (verdict != ListVerdict::kApplied && verdict != ListVerdict::kRestartApplied) {
     const std::string received =
         (list->is_whole ? "a list of version " : "changes of version ") + std::to_string(list->version);
     if (verdict == ListVerdict::kNoBase) {
--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -63,7 +63,7 @@
   CHECK_FALSE(directory.Find("s4"));
   CHECK(directory.held() == 2);
   // A newer update that puts the server in service is applied at once.
-  CHECK(directory.Merge(Changes(3, {Entry("s1")}), Requested(20s, 24s, 2)).verdict == ListVerdict::kTaken);
+  CHECK(directory.Merge(Changes(3, {Entry("s1")}), Requested(20s, 24s, 2)).verdict == ListVerdict::kApplied);
   CHECK(directory.IsServing("s1"));
 }
 
@@ -145,7 +145,7 @@
   const bool partial = GENERATE(true, false);
   const auto update = partial ? directory.MergePart(changes, Requested(10s, 11s, 1))
                               : directory.Merge(changes, Requested(10s, 11s, 8));
-  CHECK(update.verdict == (partial ? ListVerdict::kPartTaken : ListVerdict::kNoBase));
+  CHECK(update.verdict == (partial ? ListVerdict::kPartApplied : ListVerdict::kNoBase));
   CHECK(directory.held() == 1);
   CHECK_FALSE(directory.IsServing("s1"));
   CHECK(directory.Get("s2").started == 0s);
@@ -193,7 +193,7 @@
   CHECK(directory.IsServing("s3"));
   CHECK(ask(3, {Entry("s1", kDraining), Entry("s2")}, 25s) == ListVerdict::kDoubted);
   CHECK(ask(4, {}, 26s) == ListVerdict::kDoubted);  // no server left in service
-  CHECK(ask(4, {Entry("s1", kDraining), Entry("s2"), Entry("s4")}, 26s) == ListVerdict::kRestartTaken);
+  CHECK(ask(4, {Entry("s1", kDraining), Entry("s2"), Entry("s4")}, 26s) == ListVerdict::kRestartApplied);
   CHECK(directory.held() == 4);
   CHECK(directory.Get("s1").out_since == 21s + 100ms);
   CHECK(directory.Get("s1").started == 9s);
@@ -201,7 +201,7 @@
   CHECK(directory.IsServing("s4"));
   // A list that was requested before the restart has unrelated versions.
   CHECK(ask(60, {Entry("s1"), Entry("s3")}, 22s) == ListVerdict::kOlder);
-  CHECK(ask(5, {Entry("s1"), Entry("s2")}, 27s) == ListVerdict::kTaken);
+  CHECK(ask(5, {Entry("s1"), Entry("s2")}, 27s) == ListVerdict::kApplied);
   CHECK(directory.IsServing("s1"));
 }
 
