--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -73,7 +73,7 @@
   calls_.back().during_refresh = true;  // changes since the list held may have been sent long ago
 }
 
-void ListRefresher::AskWhole(Time now, ListActions& out) {
+void ListRefresher::RequestWholeList(Time now, ListActions& out) {
   following_ = true;
   version_.reset();
   CloseIf([this](const Call& call) { return call.source == target_; }, CallEndReason::kReplaced, out);
@@ -184,7 +184,7 @@
   return next;
 }
 
-bool ListRefresher::Undisturbed(CallId id) const {
+bool ListRefresher::AnswerIsFresh(CallId id) const {
   const Call* call = Find(id);
   return call != nullptr && !call->during_refresh && !call->suspect;
 }
@@ -210,9 +210,9 @@
   });
 }
 
-bool ListRefresher::AnyCallToTarget() const { return Calls(target_); }
+bool ListRefresher::AnyCallToTarget() const { return HasCallTo(target_); }
 
-bool ListRefresher::Calls(SourceId source) const {
+bool ListRefresher::HasCallTo(SourceId source) const {
   return std::any_of(calls_.begin(), calls_.end(), [source](const Call& c) { return c.source == source; });
 }
 
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -129,9 +129,9 @@
   // Starts following the list. Does nothing if it was started before.
   void Follow(Time now, ListActions& out);
   // Makes the first call one that discovery answers at once, whether or not anything has changed.
-  void AskFirst() { ask_first_ = true; }
+  void MakeFirstCallImmediate() { ask_first_ = true; }
   // Requests the whole list at once.
-  void AskWhole(Time now, ListActions& out);
+  void RequestWholeList(Time now, ListActions& out);
   // A new configuration names this source. It may be the one that is already followed.
   void Move(Time now, SourceId to, ListActions& out);
   void Connected(Time now, CallId id);
@@ -151,13 +151,13 @@
   Time Next() const;
   // Whether the call's answer was probably written just before it arrived. Only then does a drain in it
   // still have its whole grace period left.
-  bool Undisturbed(CallId id) const;
+  bool AnswerIsFresh(CallId id) const;
   ListState state() const { return state_; }
   bool moving() const { return target_ != current_; }
   SourceId current() const { return current_; }
   SourceId target() const { return target_; }
   // Whether any call to this source is open.
-  bool Calls(SourceId source) const;
+  bool HasCallTo(SourceId source) const;
   // The time since the list was last confirmed. None before the first list that this process receives.
   std::optional<Duration> Age(Time now) const;
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -90,7 +90,7 @@
     keeper = std::make_unique<Keeper>(*settings, config.name, engine, loop.deadlines(),
                                       [&loop] { return loop.Now(); });
     snapshot = keeper->Read();
-    watch.AskFirst();
+    watch.MakeFirstCallImmediate();
   }
   if (snapshot) {
     for (const std::string& uid : snapshot->suspended) engine.Suspend(uid, true);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -76,7 +76,7 @@
 
 void DiscoveryWatch::RequestWholeList() {
   ListActions actions;
-  refresher_.AskWhole(loop_.Now(), actions);
+  refresher_.RequestWholeList(loop_.Now(), actions);
   ExecuteActions(actions);
 }
 
@@ -91,7 +91,7 @@
   std::erase_if(addresses_, [this](const auto& named) {
     const SourceId source_of = named.first;
     return source_of != refresher_.current() && source_of != refresher_.target() &&
-           !refresher_.Calls(source_of);
+           !refresher_.HasCallTo(source_of);
   });
 }
 
@@ -250,7 +250,7 @@
 ListOrigin DiscoveryWatch::CurrentOrigin(const Call& call) const {
   ListOrigin origin = call.origin;
   origin.received_at = loop_.EarliestArrival();
-  origin.notified_at = refresher_.Undisturbed(call.id) ? std::min(origin.received_at, call.first_byte_at)
+  origin.notified_at = refresher_.AnswerIsFresh(call.id) ? std::min(origin.received_at, call.first_byte_at)
                                                 : loop_.Now() - drain_grace_ / 2;
   return origin;
 }
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -43,7 +43,7 @@
   // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
   // one more call. A router with persisted state needs to know whether it is still valid, and a watch is
   // not answered before something changes.
-  void AskFirst() { refresher_.AskFirst(); }
+  void MakeFirstCallImmediate() { refresher_.MakeFirstCallImmediate(); }
 
   void SetWatching(bool on) override;
   void RequestWholeList() override;
