--- a/lab/explore/list_exploration.cpp
+++ b/lab/explore/list_exploration.cpp
@@ -101,7 +101,7 @@
     plan.limits.watch_grace = plan.limits.connect = milliseconds(1000);
     plan.limits.answer = milliseconds(1500);
     plan.limits.drain_grace = grace_;
-    plan.limits.apart = agent_ ? Duration(0) : Between(milliseconds(0), milliseconds(250));
+    plan.limits.reopen_offset = agent_ ? Duration(0) : Between(milliseconds(0), milliseconds(250));
     plan.limits.agent = agent_;
     const auto number = static_cast<std::size_t>(r);
     auto router = std::make_unique<Router>();
--- a/lab/explore/list_press.cpp
+++ b/lab/explore/list_press.cpp
@@ -33,7 +33,7 @@
       caller.limits.watch_grace = caller.limits.connect = milliseconds(1000);
       caller.limits.answer = milliseconds(1500);
       caller.limits.drain_grace = milliseconds(1000);
-      caller.limits.apart = milliseconds(static_cast<int>(250 * phase));
+      caller.limits.reopen_offset = milliseconds(static_cast<int>(250 * phase));
       const auto number = static_cast<std::size_t>(r);
       auto router = std::make_unique<Router>();
       router->driver = std::make_unique<CallerDriver>(
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -110,7 +110,7 @@
   Duration connect{0};      // time limit for establishing a connection
   Duration answer{0};       // an answer that started and then stopped is abandoned after this
   Duration drain_grace{0};  // a drain has to be received within this after discovery wrote it
-  Duration apart{0};        // this router's offset in the time over which a fleet reopens broken watches
+  Duration reopen_offset{0};        // this router's offset in the time over which a fleet reopens broken watches
   bool agent = false;       // lists are pushed to an agent that serves only this router
 };
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -24,7 +24,7 @@
   refresh.connect = limits.call_up;
   refresh.answer = limits.call_answer;
   refresh.drain_grace = settings.rules.drain_grace;
-  refresh.apart = settings.list_agent ? Duration(0) : part(limits.watch_spread / 2);
+  refresh.reopen_offset = settings.list_agent ? Duration(0) : part(limits.watch_spread / 2);
   refresh.agent = settings.list_agent;
   return refresh;
 }
