--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -36,7 +36,7 @@
   if (!disk_) return;
   ReadDisk();
   // Guards against a start that waits forever for a disk that does not answer. Nothing is served before.
-  if (disk_->Await([this] { return restored_; }, limits_.state_disk_timeout)) return;
+  if (disk_->WaitUntil([this] { return restored_; }, limits_.state_disk_timeout)) return;
   disk_failure_logged_ = true;
   LogLine(Level::kWarn) << "operator state not read yet: the disk does not answer";
 }
@@ -46,7 +46,7 @@
 }
 
 void RouterOperations::ReadDisk() {
-  disk_->Put("look", [this, file = file_, heartbeats = heartbeats_]() -> DiskThread::Call {
+  disk_->Submit("look", [this, file = file_, heartbeats = heartbeats_]() -> DiskThread::Completion {
     DiskReading reading;
     if (heartbeats) reading.live_processes = heartbeats->RenewAndCount();
     reading.state = file->Read(reading.error);
@@ -85,18 +85,18 @@
 
 void RouterOperations::PollDisk() {
   deadlines_.Set(now_() + limits_.state_poll_interval, [this] { PollDisk(); });
-  disk_->Deliver();
-  if (latest_change_ != stored_change_ && !disk_->Has("save")) Save();
-  if (!disk_->Has("look")) ReadDisk();
-  if (disk_->Stuck() > limits_.state_disk_timeout && !std::exchange(disk_failure_logged_, true)) {
+  disk_->RunCompletions();
+  if (latest_change_ != stored_change_ && !disk_->IsPending("save")) Save();
+  if (!disk_->IsPending("look")) ReadDisk();
+  if (disk_->RunningFor() > limits_.state_disk_timeout && !std::exchange(disk_failure_logged_, true)) {
     LogLine(Level::kWarn) << "operator state held in memory only: the disk does not answer";
   }
 }
 
 void RouterOperations::Save() {
-  disk_->Put("save",
+  disk_->Submit("save",
              [this, file = file_, change = latest_change_,
-              state = OperatorState{engine_.suspended()}]() -> DiskThread::Call {
+              state = OperatorState{engine_.suspended()}]() -> DiskThread::Completion {
                std::string error;
                const bool ok = file->Write(state, error);
                return [this, change, ok, error] { Saved(change, ok, error); };
@@ -136,7 +136,7 @@
 // While a caller waits, checks every 2 ms whether the disk thread has finished.
 void RouterOperations::ScheduleWaiterCheck() {
   deadlines_.Set(now_() + std::chrono::milliseconds(2), [this] {
-    if (disk_) disk_->Deliver();
+    if (disk_) disk_->RunCompletions();
     std::vector<Waiter> waiters;
     waiters.swap(waiters_);
     for (Waiter& waiter : waiters) {
--- a/src/state/disk_thread.cpp
+++ b/src/state/disk_thread.cpp
@@ -16,7 +16,7 @@
   std::deque<std::pair<std::string, Work>> waiting;
   std::string running;  // the name of the work that is running; empty: none
   SteadyClock::time_point since;
-  std::vector<Call> completed;
+  std::vector<Completion> completed;
   bool stop = false, ended = false;
 
   void Run() {
@@ -29,7 +29,7 @@
       waiting.pop_front();
       since = SteadyClock::now();
       held.unlock();
-      Call call = work();
+      Completion call = work();
       work = nullptr;
       held.lock();
       running.clear();
@@ -60,7 +60,7 @@
   }
 }
 
-void DiskThread::Put(const std::string& name, Work work) {
+void DiskThread::Submit(const std::string& name, Work work) {
   const std::lock_guard held(shared_->lock);
   for (auto& [waiting_name, old] : shared_->waiting) {
     if (waiting_name != name) continue;
@@ -71,7 +71,7 @@
   shared_->submitted.notify_all();
 }
 
-bool DiskThread::Has(const std::string& name) const {
+bool DiskThread::IsPending(const std::string& name) const {
   const std::lock_guard held(shared_->lock);
   if (shared_->running == name) return true;
   for (const auto& [waiting_name, work] : shared_->waiting) {
@@ -80,26 +80,26 @@
   return false;
 }
 
-std::chrono::nanoseconds DiskThread::Stuck() const {
+std::chrono::nanoseconds DiskThread::RunningFor() const {
   const std::lock_guard held(shared_->lock);
   if (shared_->running.empty()) return std::chrono::nanoseconds(0);
   return SteadyClock::now() - shared_->since;
 }
 
-void DiskThread::Deliver() {
-  std::vector<Call> completed;
+void DiskThread::RunCompletions() {
+  std::vector<Completion> completed;
   {
     const std::lock_guard held(shared_->lock);
     completed.swap(shared_->completed);
   }
-  for (const Call& call : completed) call();
+  for (const Completion& call : completed) call();
 }
 
-bool DiskThread::Await(const std::function<bool()>& done, std::chrono::nanoseconds within) {
+bool DiskThread::WaitUntil(const std::function<bool()>& done, std::chrono::nanoseconds within) {
   const auto until = SteadyClock::now() + within;
   while (!done() && SteadyClock::now() < until) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    Deliver();
+    RunCompletions();
   }
   return done();
 }
--- a/src/state/disk_thread.h
+++ b/src/state/disk_thread.h
@@ -17,10 +17,10 @@
 
 class DiskThread {
  public:
-  using Call = std::function<void()>;
+  using Completion = std::function<void()>;
   // Runs on the disk thread. It must own everything that it accesses, because it may outlive the code that
   // submitted it. The callback that it returns (may be empty) runs on the loop's thread, in Deliver.
-  using Work = std::function<Call()>;
+  using Work = std::function<Completion()>;
 
   DiskThread();
   // Waits at most kShutdownWait for the submitted work. If the disk has not responded by then, the thread
@@ -29,16 +29,16 @@
   DiskThread(const DiskThread&) = delete;
   DiskThread& operator=(const DiskThread&) = delete;
 
-  void Put(const std::string& name, Work work);
+  void Submit(const std::string& name, Work work);
   // Whether work with that name is waiting or running.
-  bool Has(const std::string& name) const;
+  bool IsPending(const std::string& name) const;
   // How long the current piece of work has been running; 0: none is.
-  std::chrono::nanoseconds Stuck() const;
+  std::chrono::nanoseconds RunningFor() const;
   // Runs the callbacks of work that has completed.
-  void Deliver();
+  void RunCompletions();
   // Blocks and runs callbacks until `done` returns true or `within` has passed. For use at the start,
   // before requests are served. Returns the last result of `done`.
-  bool Await(const std::function<bool()>& done, std::chrono::nanoseconds within);
+  bool WaitUntil(const std::function<bool()>& done, std::chrono::nanoseconds within);
 
   static constexpr std::chrono::milliseconds kShutdownWait{200};
 
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -97,11 +97,11 @@
 
 std::optional<Snapshot> Keeper::Read() {
   auto found = std::make_shared<std::optional<FoundSnapshot>>();
-  disk_.Put("read", [found, path = Path(), router = router_]() -> DiskThread::Call {
+  disk_.Submit("read", [found, path = Path(), router = router_]() -> DiskThread::Completion {
     auto here = std::make_shared<FoundSnapshot>(FindSnapshot(path, router));
     return [found, here] { *found = std::move(*here); };
   });
-  if (!disk_.Await([&] { return found->has_value(); }, kReadTimeout)) {
+  if (!disk_.WaitUntil([&] { return found->has_value(); }, kReadTimeout)) {
     LogLine(Level::kWarn) << "kept state not read: the disk does not answer";
     return std::nullopt;
   }
@@ -130,8 +130,8 @@
 
 void Keeper::Tick() {
   Begin();
-  disk_.Deliver();
-  if (!disk_.Has("snapshot")) return Take();
+  disk_.RunCompletions();
+  if (!disk_.IsPending("snapshot")) return Take();
   if (!std::exchange(failure_logged_, true)) {
     LogLine(Level::kWarn) << "state not kept: the disk does not answer";
   }
@@ -143,7 +143,7 @@
   snapshot->router = router_;
   snapshot->taken = now_();
   // Encoding is done on the disk thread too.
-  disk_.Put("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Call {
+  disk_.Submit("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Completion {
     std::string why;
     std::rename(path.c_str(), (path + ".1").c_str());  // fails if there is none yet
     const bool ok = WriteWhole(path, Encode(*snapshot), why);
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -355,24 +355,24 @@
   std::mutex disk_busy;
   std::vector<int> done, delivered;
   disk_busy.lock();
-  disk.Put("a", [&]() -> DiskThread::Call {
+  disk.Submit("a", [&]() -> DiskThread::Completion {
     const std::lock_guard wait(disk_busy);
     return [&] { delivered.push_back(0); };
   });
-  while (disk.Stuck().count() == 0) std::this_thread::yield();
+  while (disk.RunningFor().count() == 0) std::this_thread::yield();
   for (int i = 1; i <= 1000; ++i) {
-    disk.Put("b", [&, i]() -> DiskThread::Call {
+    disk.Submit("b", [&, i]() -> DiskThread::Completion {
       done.push_back(i);
       return [&, i] { delivered.push_back(i); };
     });
   }
-  CHECK(disk.Has("a"));
-  CHECK(disk.Has("b"));
-  disk.Deliver();
+  CHECK(disk.IsPending("a"));
+  CHECK(disk.IsPending("b"));
+  disk.RunCompletions();
   CHECK(delivered.empty());
   disk_busy.unlock();
-  while (disk.Has("b")) std::this_thread::yield();
-  disk.Deliver();
+  while (disk.IsPending("b")) std::this_thread::yield();
+  disk.RunCompletions();
   CHECK(done == std::vector<int>{1000});
   CHECK(delivered == std::vector<int>{0, 1000});
 }
