--- a/src/main.cpp
+++ b/src/main.cpp
@@ -84,12 +84,12 @@
                 : nullptr);
   // Restores the snapshot of an earlier process, if the installation has a disk for it. Suspensions are
   // applied before any server list, so that no attempt goes to a suspended server.
-  std::unique_ptr<Keeper> keeper;
+  std::unique_ptr<SnapshotKeeper> keeper;
   std::optional<Snapshot> snapshot;
   if (const auto settings = LoadStateSettings()) {
-    keeper = std::make_unique<Keeper>(*settings, config.name, engine, loop.deadlines(),
+    keeper = std::make_unique<SnapshotKeeper>(*settings, config.name, engine, loop.deadlines(),
                                       [&loop] { return loop.Now(); });
-    snapshot = keeper->Read();
+    snapshot = keeper->Load();
     watch.MakeFirstCallImmediate();
   }
   if (snapshot) {
@@ -106,7 +106,7 @@
         Faith(loop.Now() - snapshot->taken, keeper->settings().half, keeper->settings().most);
     if (confidence > 0) engine.RestoreSnapshot(std::move(*snapshot), confidence);
   }
-  if (keeper) keeper->Begin();
+  if (keeper) keeper->Start();
   // SIGHUP applies a new configuration without a restart: open requests and the listener are not affected.
   // Only the address of discovery is applied; the router's own address, its limits and settings change at
   // its next start.
@@ -135,7 +135,7 @@
   });
   const auto stop = [&] {
     LogLine(Level::kInfo) << config.name << " stops; open requests: " << engine.open_requests();
-    if (keeper) keeper->Take();
+    if (keeper) keeper->Save();
     front.Stop([&loop] { loop.Stop(); });
   };
   loop.OnSignal(SIGTERM, stop);
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -87,7 +87,7 @@
   return ReadStateSettings(std::string(std::istreambuf_iterator<char>(in), {}));
 }
 
-Keeper::Keeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
+SnapshotKeeper::SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
                std::function<Time()> now)
     : settings_(std::move(settings)),
       router_(std::move(router)),
@@ -95,7 +95,7 @@
       deadlines_(deadlines),
       now_(std::move(now)) {}
 
-std::optional<Snapshot> Keeper::Read() {
+std::optional<Snapshot> SnapshotKeeper::Load() {
   auto found = std::make_shared<std::optional<FoundSnapshot>>();
   disk_.Submit("read", [found, path = Path(), router = router_]() -> DiskThread::Completion {
     auto here = std::make_shared<FoundSnapshot>(FindSnapshot(path, router));
@@ -124,20 +124,20 @@
   return std::move(f.snapshot);
 }
 
-void Keeper::Begin() {
+void SnapshotKeeper::Start() {
   deadlines_.Set(now_() + settings_.every, [this] { Tick(); });
 }
 
-void Keeper::Tick() {
-  Begin();
+void SnapshotKeeper::Tick() {
+  Start();
   disk_.RunCompletions();
-  if (!disk_.IsPending("snapshot")) return Take();
+  if (!disk_.IsPending("snapshot")) return Save();
   if (!std::exchange(failure_logged_, true)) {
     LogLine(Level::kWarn) << "state not kept: the disk does not answer";
   }
 }
 
-void Keeper::Take() {
+void SnapshotKeeper::Save() {
   if (!engine_.confirmed()) return;
   auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.keys));
   snapshot->router = router_;
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -31,21 +31,21 @@
 // Reads the file that $BRASSWOOD_STATE names. Returns nothing if the variable is not set.
 std::optional<StateSettings> LoadStateSettings();
 
-class Keeper {
+class SnapshotKeeper {
  public:
   // `router`: the router's name. The references must outlive the keeper.
-  Keeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
+  SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
          std::function<Time()> now);
 
   // Reads the newest valid snapshot of this router out of two generations, if there is one. Blocks for the
   // disk, half a second at most, and logs the result.
-  std::optional<Snapshot> Read();
+  std::optional<Snapshot> Load();
   const StateSettings& settings() const { return settings_; }
   // Writes a snapshot each `every` from now on, once discovery has confirmed the list, so that a process
   // that knows less does not overwrite the earlier snapshot.
-  void Begin();
+  void Start();
   // Writes a snapshot now.
-  void Take();
+  void Save();
 
  private:
   void Tick();
