--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -62,15 +62,15 @@
     if (key == "folder" && m.value.IsString()) {
       s.folder = m.value.GetString();
     } else if (key == "every_ms") {
-      s.every = span(number(m.value, key, 100, 3600000));
+      s.interval = span(number(m.value, key, 100, 3600000));
     } else if (key == "keys") {
-      s.keys = static_cast<std::size_t>(number(m.value, key, 0, 65536));
+      s.max_keys = static_cast<std::size_t>(number(m.value, key, 0, 65536));
     } else if (key == "half_ms") {
-      s.half = span(number(m.value, key, 1, 86400000));
+      s.half_life = span(number(m.value, key, 1, 86400000));
     } else if (key == "most_ms") {
-      s.most = span(number(m.value, key, 1, 7 * 86400000.0));
+      s.max_age = span(number(m.value, key, 1, 7 * 86400000.0));
     } else if (key == "old_ms") {
-      s.old = span(number(m.value, key, 0, 86400000));
+      s.old_list_age = span(number(m.value, key, 0, 86400000));
     } else {
       throw bad("\"" + key + "\" is unknown or has the wrong type");
     }
@@ -109,7 +109,7 @@
   if (!f.why.empty()) LogLine(Level::kWarn) << "kept state left aside: " << f.why;
   if (!f.snapshot) return std::nullopt;
   const Duration age = now_() - f.snapshot->taken;
-  if (Faith(age, settings_.half, settings_.most) <= 0) {
+  if (Faith(age, settings_.half_life, settings_.max_age) <= 0) {
     LogLine(Level::kWarn) << "kept state left aside: "
                           << (age < Duration(0) ? "taken in the future" : "too old");
     // Suspensions do not expire: only an operator can end one.
@@ -125,7 +125,7 @@
 }
 
 void SnapshotKeeper::Start() {
-  deadlines_.Set(now_() + settings_.every, [this] { Tick(); });
+  deadlines_.Set(now_() + settings_.interval, [this] { Tick(); });
 }
 
 void SnapshotKeeper::Tick() {
@@ -139,7 +139,7 @@
 
 void SnapshotKeeper::Save() {
   if (!engine_.confirmed()) return;
-  auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.keys));
+  auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.max_keys));
   snapshot->router = router_;
   snapshot->taken = now_();
   // Encoding is done on the disk thread too.
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -19,11 +19,11 @@
 
 struct StateSettings {
   std::string folder;  // must exist
-  Duration every{std::chrono::seconds(5)};
-  std::size_t keys = 8192;                 // stored at most, the most recently used ones
-  Duration half{std::chrono::minutes(5)};  // half-life of the confidence in what was learnt
-  Duration most{std::chrono::hours(1)};    // of an older snapshot only the suspensions are used
-  Duration old{std::chrono::seconds(30)};  // servers of an older list may have been replaced
+  Duration interval{std::chrono::seconds(5)};
+  std::size_t max_keys = 8192;                 // stored at most, the most recently used ones
+  Duration half_life{std::chrono::minutes(5)};  // half-life of the confidence in what was learnt
+  Duration max_age{std::chrono::hours(1)};    // of an older snapshot only the suspensions are used
+  Duration old_list_age{std::chrono::seconds(30)};  // servers of an older list may have been replaced
 };
 
 // Parses the text of the settings file. Throws std::runtime_error with a message of one line.
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -103,7 +103,7 @@
 }
 
 TEST_CASE("state settings: an error is reported as one line") {
-  CHECK(ReadStateSettings(R"({"state":{"folder":"/x","keys":16}})").keys == 16);
+  CHECK(ReadStateSettings(R"({"state":{"folder":"/x","keys":16}})").max_keys == 16);
   for (const char* bad :
        {"", "[]", "{}", R"({"state":{}})", R"({"state":{"folder":1}})",
         R"({"state":{"folder":"/x","every_ms":1}})", R"({"state":{"folder":"/x","other":1}})"}) {
