--- a/lab/run/router_process.cpp
+++ b/lab/run/router_process.cpp
@@ -121,9 +121,9 @@
 void RouterProcess::PrepareState(KeptAs kept, const std::string& other_state_file) {
   if (!scenario_.routers.state || kept == KeptAs::kKept) return;
   std::string why;
-  const auto file = ReadWhole(state_file(), kMostSnapshot, why);
-  const auto saved = ReadWhole(state_file() + ".aside", kMostSnapshot, why);
-  const auto other = ReadWhole(other_state_file, kMostSnapshot, why);
+  const auto file = ReadWhole(state_file(), kMaxSnapshotBytes, why);
+  const auto saved = ReadWhole(state_file() + ".aside", kMaxSnapshotBytes, why);
+  const auto other = ReadWhole(other_state_file, kMaxSnapshotBytes, why);
   const std::string text = file.value_or("");
   std::filesystem::remove(state_file() + ".1");
   std::filesystem::remove(state_file());
@@ -143,8 +143,8 @@
     case KeptAs::kFuture: {
       auto snapshot = DecodeSnapshot(text, why);
       if (!snapshot) return;
-      snapshot->taken += std::chrono::hours(1);
-      content = Encode(*snapshot);
+      snapshot->taken_at += std::chrono::hours(1);
+      content = EncodeSnapshot(*snapshot);
       break;
     }
     case KeptAs::kOthers:
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -594,8 +594,8 @@
     indexes[id] = static_cast<ServerId>(s.list.entries.size());
     s.list.entries.push_back(directory_.Reported(id));
   }
-  s.learnt = balancer_.Keep(now_(), max_keys);
-  RemapServers(s.learnt, indexes);
+  s.module_state = balancer_.Keep(now_(), max_keys);
+  RemapServers(s.module_state, indexes);
   return s;
 }
 
@@ -619,8 +619,8 @@
     if (directory_.Reported(*id).started != entries[index].started) continue;
     ids[index] = *id;
   }
-  RemapServers(pending_snapshot_->learnt, ids);
-  balancer_.Recall(now_(), pending_snapshot_->learnt, snapshot_confidence_);
+  RemapServers(pending_snapshot_->module_state, ids);
+  balancer_.Recall(now_(), pending_snapshot_->module_state, snapshot_confidence_);
   LogLine(Level::kInfo) << "kept state taken up for " << ids.size() << " of " << entries.size()
                         << " servers";
   pending_snapshot_.reset();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -97,13 +97,13 @@
   }
   operations.Restore();
   if (snapshot && !snapshot->list.entries.empty() && snapshot->list.version > config.known.version) {
-    engine.SetInitialList(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old_list_age);
+    engine.SetInitialList(snapshot->list, loop.Now() - snapshot->taken_at > keeper->settings().old_list_age);
   } else {
     engine.SetInitialList(config.known);
   }
   if (snapshot) {
     const double confidence =
-        Faith(loop.Now() - snapshot->taken, keeper->settings().half_life, keeper->settings().max_age);
+        SnapshotConfidence(loop.Now() - snapshot->taken_at, keeper->settings().half_life, keeper->settings().max_age);
     if (confidence > 0) engine.RestoreSnapshot(std::move(*snapshot), confidence);
   }
   if (keeper) keeper->Start();
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -27,7 +27,7 @@
   FoundSnapshot found;
   for (const std::string& name : {path, path + ".1"}) {
     std::string why;
-    const auto text = ReadWhole(name, kMostSnapshot, why);
+    const auto text = ReadWhole(name, kMaxSnapshotBytes, why);
     if (text) found.snapshot = DecodeSnapshot(*text, why);
     if (found.snapshot && found.snapshot->router != router) {
       found.snapshot.reset();
@@ -108,18 +108,18 @@
   FoundSnapshot& f = **found;
   if (!f.why.empty()) LogLine(Level::kWarn) << "kept state left aside: " << f.why;
   if (!f.snapshot) return std::nullopt;
-  const Duration age = now_() - f.snapshot->taken;
-  if (Faith(age, settings_.half_life, settings_.max_age) <= 0) {
+  const Duration age = now_() - f.snapshot->taken_at;
+  if (SnapshotConfidence(age, settings_.half_life, settings_.max_age) <= 0) {
     LogLine(Level::kWarn) << "kept state left aside: "
                           << (age < Duration(0) ? "taken in the future" : "too old");
     // Suspensions do not expire: only an operator can end one.
     f.snapshot->list = {};
-    f.snapshot->learnt = {};
+    f.snapshot->module_state = {};
   }
   LogLine(Level::kInfo) << "kept state of "
                         << std::chrono::duration_cast<std::chrono::milliseconds>(age).count()
                         << " ms ago: " << f.snapshot->list.entries.size() << " servers, "
-                        << f.snapshot->learnt.keys.size() << " keys, " << f.snapshot->suspended.size()
+                        << f.snapshot->module_state.keys.size() << " keys, " << f.snapshot->suspended.size()
                         << " suspended";
   return std::move(f.snapshot);
 }
@@ -141,12 +141,12 @@
   if (!engine_.confirmed()) return;
   auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.max_keys));
   snapshot->router = router_;
-  snapshot->taken = now_();
+  snapshot->taken_at = now_();
   // Encoding is done on the disk thread too.
   disk_.Submit("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Completion {
     std::string why;
     std::rename(path.c_str(), (path + ".1").c_str());  // fails if there is none yet
-    const bool ok = WriteWhole(path, Encode(*snapshot), why);
+    const bool ok = WriteWhole(path, EncodeSnapshot(*snapshot), why);
     // Logged once when writing starts to fail, and once when it works again.
     return [this, ok, why] {
       if (ok && std::exchange(failure_logged_, false)) LogLine(Level::kInfo) << "state is kept again";
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string Encode(const Snapshot& s) {
+std::string EncodeSnapshot(const Snapshot& s) {
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> w(text);
   const auto str = [&](const std::string& v) {
@@ -62,7 +62,7 @@
   };
   w.StartObject();
   w.Key("router"), str(s.router);
-  w.Key("taken"), w.Int64(s.taken.count());
+  w.Key("taken"), w.Int64(s.taken_at.count());
   w.Key("rev"), w.Int64(s.list.version);
   w.Key("list"), w.StartArray();
   for (const ServerEntry& e : s.list.entries) {
@@ -77,17 +77,17 @@
   for (const std::string& uid : s.suspended) str(uid);
   w.EndArray();
   w.Key("servers"), w.StartArray();
-  for (const Kept::Server& k : s.learnt.servers) {
+  for (const Kept::Server& k : s.module_state.servers) {
     w.StartArray();
     w.Uint(k.id), w.Double(k.looks), w.Double(k.log_time), w.Double(k.log_weight), w.Int64(k.avoid.count());
     w.EndArray();
   }
   w.EndArray();
   w.Key("origin"), w.StartArray();
-  w.Double(s.learnt.origin.limit), w.Double(s.learnt.origin.base), w.Double(s.learnt.origin.usual);
+  w.Double(s.module_state.origin.limit), w.Double(s.module_state.origin.base), w.Double(s.module_state.origin.usual);
   w.EndArray();
   w.Key("keys"), w.StartArray();
-  for (const Kept::Key& k : s.learnt.keys) {
+  for (const Kept::Key& k : s.module_state.keys) {
     w.StartArray();
     w.Uint64(k.key);
     for (const beechledge::ServerId id : k.holders) w.Uint(id);
@@ -126,7 +126,7 @@
   Snapshot s;
   bool ok = true;
   s.router = d["router"].GetString();
-  s.taken = Time(d["taken"].GetInt64());
+  s.taken_at = Time(d["taken"].GetInt64());
   s.list.version = d["rev"].GetInt64();
   for (const Value& v : d["list"].GetArray()) {
     Row r{v, ok};
@@ -157,10 +157,10 @@
     k.log_weight = r.Number(3);
     k.avoid = Duration(r.Integer(4));
     ok = ok && k.id < servers;
-    s.learnt.servers.push_back(k);
+    s.module_state.servers.push_back(k);
   }
   Row origin{d["origin"], ok};
-  s.learnt.origin = {origin.Number(0), origin.Number(1), origin.Number(2)};
+  s.module_state.origin = {origin.Number(0), origin.Number(1), origin.Number(2)};
   for (const Value& v : d["keys"].GetArray()) {
     if (!v.IsArray() || v.Empty() || !v[0].IsUint64()) ok = false;
     if (!ok) break;
@@ -169,13 +169,13 @@
       ok = ok && v[i].IsUint() && v[i].GetUint() < servers;
       if (ok) k.holders.push_back(v[i].GetUint());
     }
-    s.learnt.keys.push_back(std::move(k));
+    s.module_state.keys.push_back(std::move(k));
   }
   if (!ok) return refuse("invalid content");
   return s;
 }
 
-double Faith(Duration age, Duration half_life, Duration max_age) {
+double SnapshotConfidence(Duration age, Duration half_life, Duration max_age) {
   if (age < Duration(0) || age > max_age) return 0;
   return std::exp2(-std::chrono::duration<double>(age).count() /
                    std::chrono::duration<double>(half_life).count());
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -21,24 +21,24 @@
 
 struct Snapshot {
   std::string router;  // the name of the router that wrote it
-  Time taken{0};       // Unix time
+  Time taken_at{0};       // Unix time
   ServerList list;     // the whole list as last received from discovery
   std::set<std::string> suspended;
   // Server ids in it are indexes into list.entries.
-  beechledge::Kept learnt;
+  beechledge::Kept module_state;
 };
 
 constexpr int kSnapshotLayout = 1;
-constexpr std::size_t kMostSnapshot = 16 << 20;  // bytes; a larger file is not a snapshot of ours
+constexpr std::size_t kMaxSnapshotBytes = 16 << 20;  // bytes; a larger file is not a snapshot of ours
 
-std::string Encode(const Snapshot& snapshot);
+std::string EncodeSnapshot(const Snapshot& snapshot);
 // Returns nothing, and sets `why`, if the text is truncated, has another layout or is invalid. Never
 // throws, whatever the text.
 std::optional<Snapshot> DecodeSnapshot(std::string_view text, std::string& why);
 
 // The confidence, from 1 to 0, in what was learnt `age` ago: it halves with each `half_life`, and is 0 if
 // `age` is negative (the snapshot is from the future) or over `max_age`.
-double Faith(Duration age, Duration half_life, Duration max_age);
+double SnapshotConfidence(Duration age, Duration half_life, Duration max_age);
 
 }  // namespace brasswood
 
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -23,15 +23,15 @@
 Snapshot Sample() {
   Snapshot s;
   s.router = "n1";
-  s.taken = 1000s;
+  s.taken_at = 1000s;
   s.list.version = 41;
   s.list.entries = {{"s-1", "127.0.0.1:11", 0, 1, 2, Availability::kUp, 1.5, 900s},
                     {"s-2", "127.0.0.1:12", 1, 0, 0, Availability::kDraining, 1, 0s}};
   s.suspended = {"s-2"};
-  s.learnt.servers = {{0, 12.5, -3.25, 0.5, 700ms}, {1, 3, -2, 0, 0s}};
-  s.learnt.origin = {12, 0.06, 0.08};
+  s.module_state.servers = {{0, 12.5, -3.25, 0.5, 700ms}, {1, 3, -2, 0, 0s}};
+  s.module_state.origin = {12, 0.06, 0.08};
   for (std::uint64_t key = 1; key < 50; ++key)
-    s.learnt.keys.push_back({key * 0x9e3779b97f4a7c15u, {key % 2 == 0}});
+    s.module_state.keys.push_back({key * 0x9e3779b97f4a7c15u, {key % 2 == 0}});
   return s;
 }
 
@@ -50,7 +50,7 @@
   Snapshot Await(std::int64_t rev) const {
     for (;;) {
       std::string why;
-      const auto text = ReadWhole(file(), kMostSnapshot, why);
+      const auto text = ReadWhole(file(), kMaxSnapshotBytes, why);
       const auto got = text ? DecodeSnapshot(*text, why) : std::nullopt;
       if (got && got->list.version >= rev) return *got;
       ::usleep(10000);
@@ -63,16 +63,16 @@
 TEST_CASE("a snapshot is decoded as it was encoded") {
   const Snapshot s = Sample();
   std::string why;
-  const auto back = DecodeSnapshot(Encode(s), why);
+  const auto back = DecodeSnapshot(EncodeSnapshot(s), why);
   REQUIRE(back);
-  CHECK(Encode(*back) == Encode(s));
+  CHECK(EncodeSnapshot(*back) == EncodeSnapshot(s));
   CHECK(back->list.entries[1].availability == Availability::kDraining);
-  CHECK(back->learnt.servers[0].avoid == 700ms);
-  CHECK(back->learnt.keys[3].holders == s.learnt.keys[3].holders);
+  CHECK(back->module_state.servers[0].avoid == 700ms);
+  CHECK(back->module_state.keys[3].holders == s.module_state.keys[3].holders);
 }
 
 TEST_CASE("a snapshot that is incomplete, changed or in another format is refused") {
-  const std::string text = Encode(Sample());
+  const std::string text = EncodeSnapshot(Sample());
   std::string why;
   for (std::size_t n = 0; n < text.size(); ++n) {
     INFO("cut at " << n);
@@ -88,18 +88,18 @@
   CHECK(why == "of another layout");
   // The checksum is right, but the snapshot refers to servers that it does not list.
   Snapshot invalid = Sample();
-  invalid.learnt.servers[0].id = 7;
-  CHECK_FALSE(DecodeSnapshot(Encode(invalid), why));
+  invalid.module_state.servers[0].id = 7;
+  CHECK_FALSE(DecodeSnapshot(EncodeSnapshot(invalid), why));
   invalid = Sample();
-  invalid.learnt.keys[0].holders = {99};
-  CHECK_FALSE(DecodeSnapshot(Encode(invalid), why));
+  invalid.module_state.keys[0].holders = {99};
+  CHECK_FALSE(DecodeSnapshot(EncodeSnapshot(invalid), why));
 }
 
 TEST_CASE("the confidence in learnt state falls with its age") {
-  CHECK(Faith(0s, 300s, 3600s) == 1);
-  CHECK(Faith(300s, 300s, 3600s) == Approx(0.5));
-  CHECK(Faith(3601s, 300s, 3600s) == 0);
-  CHECK(Faith(-1s, 300s, 3600s) == 0);
+  CHECK(SnapshotConfidence(0s, 300s, 3600s) == 1);
+  CHECK(SnapshotConfidence(300s, 300s, 3600s) == Approx(0.5));
+  CHECK(SnapshotConfidence(3601s, 300s, 3600s) == 0);
+  CHECK(SnapshotConfidence(-1s, 300s, 3600s) == 0);
 }
 
 TEST_CASE("state settings: an error is reported as one line") {
@@ -151,7 +151,7 @@
   Snapshot suspended = state.Await(7);
   suspended.suspended = {"s2"};
   std::string why;
-  REQUIRE(WriteWhole(state.file(), Encode(suspended), why));
+  REQUIRE(WriteWhole(state.file(), EncodeSnapshot(suspended), why));
   Process restarted =
       Start(Router::Config(silent.address(), ""), silent.address(), {"BRASSWOOD_STATE=" + state.settings});
   Fd client(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -179,7 +179,7 @@
   StateFolder state;
   Listener discovery, node;
   Snapshot s = Sample();
-  s.taken = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
+  s.taken_at = std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch());
   // Starts a router with the two generations of its snapshot file. Whether its log contains `expected`.
   const auto logs = [&](const std::string& newer, const std::string& older, const std::string& expected) {
     std::ofstream(state.file(), std::ios::trunc) << newer;
@@ -188,12 +188,12 @@
                             {"BRASSWOOD_STATE=" + state.settings});
     return p.said.find(expected) != std::string::npos && !p.listen.empty();
   };
-  const std::string valid = Encode(s);
+  const std::string valid = EncodeSnapshot(s);
   s.router = "n2";
-  const std::string other_routers = Encode(s);
+  const std::string other_routers = EncodeSnapshot(s);
   s.router = "n1";
-  s.taken += 1h;
-  const std::string future = Encode(s);
+  s.taken_at += 1h;
+  const std::string future = EncodeSnapshot(s);
   CHECK(logs(other_routers, "", "of another router"));
   CHECK(logs(other_routers, valid, "2 servers, 49 keys, 1 suspended"));
   CHECK(logs(valid.substr(0, valid.size() / 2), valid, "2 servers, 49 keys"));
@@ -211,14 +211,14 @@
       s.list.entries.push_back(
           {"s-" + std::to_string(i), "127.0.0.1:12", 0, 0, 0, Availability::kUp, 1, 0s});
     }
-    s.learnt.keys.clear();
+    s.module_state.keys.clear();
     for (std::uint64_t k = 0; k < keys; ++k) {
-      s.learnt.keys.push_back({k * 0x9e3779b97f4a7c15u, {static_cast<beechledge::ServerId>(k % 200)}});
+      s.module_state.keys.push_back({k * 0x9e3779b97f4a7c15u, {static_cast<beechledge::ServerId>(k % 200)}});
     }
     const auto now = [] { return std::chrono::steady_clock::now(); };
     const auto ms = [](auto d) { return std::chrono::duration<double, std::milli>(d).count(); };
     auto at = now();
-    const std::string text = Encode(s);
+    const std::string text = EncodeSnapshot(s);
     const double encode = ms(now() - at);
     at = now();
     std::string why;
@@ -229,6 +229,6 @@
     const double copied = ms(now() - at);
     std::printf("%zu keys: %zu bytes, encoded in %.1f ms, decoded in %.1f ms, copied in %.1f ms\n", keys,
                 text.size(), encode, decode, copied);
-    CHECK(copy.learnt.keys.size() == keys);
+    CHECK(copy.module_state.keys.size() == keys);
   }
 }
