--- a/lab/run/router_process.cpp
+++ b/lab/run/router_process.cpp
@@ -121,9 +121,9 @@
 void RouterProcess::PrepareState(KeptAs kept, const std::string& other_state_file) {
   if (!scenario_.routers.state || kept == KeptAs::kKept) return;
   std::string why;
-  const auto file = ReadWhole(state_file(), kMaxSnapshotBytes, why);
-  const auto saved = ReadWhole(state_file() + ".aside", kMaxSnapshotBytes, why);
-  const auto other = ReadWhole(other_state_file, kMaxSnapshotBytes, why);
+  const auto file = ReadFile(state_file(), kMaxSnapshotBytes, why);
+  const auto saved = ReadFile(state_file() + ".aside", kMaxSnapshotBytes, why);
+  const auto other = ReadFile(other_state_file, kMaxSnapshotBytes, why);
   const std::string text = file.value_or("");
   std::filesystem::remove(state_file() + ".1");
   std::filesystem::remove(state_file());
--- a/src/admin/state_file.cpp
+++ b/src/admin/state_file.cpp
@@ -16,7 +16,7 @@
 
 std::optional<OperatorState> StateFile::Read(std::string& error) const {
   constexpr std::size_t kMaxBytes = 1 << 20;  // far above any real state; a larger file is not ours
-  const auto text = ReadWhole(path_, kMaxBytes, error);
+  const auto text = ReadFile(path_, kMaxBytes, error);
   if (!text) return std::nullopt;
   auto state = Decode(*text);
   if (!state) error = path_ + ": torn or of another layout";
@@ -24,7 +24,7 @@
 }
 
 bool StateFile::Write(const OperatorState& state, std::string& error) const {
-  return WriteWhole(path_, Encode(state), error);
+  return WriteFileAtomically(path_, Encode(state), error);
 }
 
 }  // namespace brasswood
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -27,7 +27,7 @@
   FoundSnapshot found;
   for (const std::string& name : {path, path + ".1"}) {
     std::string why;
-    const auto text = ReadWhole(name, kMaxSnapshotBytes, why);
+    const auto text = ReadFile(name, kMaxSnapshotBytes, why);
     if (text) found.snapshot = DecodeSnapshot(*text, why);
     if (found.snapshot && found.snapshot->router != router) {
       found.snapshot.reset();
@@ -146,7 +146,7 @@
   disk_.Submit("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Completion {
     std::string why;
     std::rename(path.c_str(), (path + ".1").c_str());  // fails if there is none yet
-    const bool ok = WriteWhole(path, EncodeSnapshot(*snapshot), why);
+    const bool ok = WriteFileAtomically(path, EncodeSnapshot(*snapshot), why);
     // Logged once when writing starts to fail, and once when it works again.
     return [this, ok, why] {
       if (ok && std::exchange(failure_logged_, false)) LogLine(Level::kInfo) << "state is kept again";
--- a/src/state/whole_file.cpp
+++ b/src/state/whole_file.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-bool WriteWhole(const std::string& path, std::string_view content, std::string& why) {
+bool WriteFileAtomically(const std::string& path, std::string_view content, std::string& why) {
   const std::string temporary = path + "." + std::to_string(::getpid()) + ".new";
   const auto failed = [&](const std::string& at) {
     why = at + ": " + std::strerror(errno);
@@ -52,7 +52,7 @@
   return true;
 }
 
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes, std::string& why) {
+std::optional<std::string> ReadFile(const std::string& path, std::size_t max_bytes, std::string& why) {
   why.clear();
   File file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
--- a/src/state/whole_file.h
+++ b/src/state/whole_file.h
@@ -13,11 +13,11 @@
 
 // Replaces the file's content. On failure returns false and sets `why`; the file is unchanged. The
 // temporary file is path + "." + process id + ".new".
-bool WriteWhole(const std::string& path, std::string_view content, std::string& why);
+bool WriteFileAtomically(const std::string& path, std::string_view content, std::string& why);
 
 // Reads a file of at most `max_bytes`. Returns nothing if there is no such file (`why` is empty), or if it
 // cannot be read or is larger (`why` says which).
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes, std::string& why);
+std::optional<std::string> ReadFile(const std::string& path, std::size_t max_bytes, std::string& why);
 
 }  // namespace brasswood
 
--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -98,7 +98,7 @@
       for (int r = 0; r < kRouters; ++r) {
         std::string why;
         const auto text =
-            ReadWhole(folder.path + "/state-" + std::to_string(r) + "/n" + std::to_string(r) + ".state",
+            ReadFile(folder.path + "/state-" + std::to_string(r) + "/n" + std::to_string(r) + ".state",
                       kMaxSnapshotBytes, why);
         complete += text && DecodeSnapshot(*text, why);
       }
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -381,16 +381,16 @@
   AdminRouter r;  // for its directory
   const std::string path = r.directory + "/kept";
   std::string why;
-  CHECK_FALSE(ReadWhole(path, 10, why));
+  CHECK_FALSE(ReadFile(path, 10, why));
   CHECK(why.empty());
-  REQUIRE(WriteWhole(path, "one", why));
-  CHECK(ReadWhole(path, 10, why) == "one");
-  CHECK_FALSE(ReadWhole(path, 2, why));
+  REQUIRE(WriteFileAtomically(path, "one", why));
+  CHECK(ReadFile(path, 10, why) == "one");
+  CHECK_FALSE(ReadFile(path, 2, why));
   CHECK(why.find("too large") != std::string::npos);
   std::filesystem::create_directories(path + "." + std::to_string(::getpid()) + ".new/in-the-way");
-  CHECK_FALSE(WriteWhole(path, "two", why));
+  CHECK_FALSE(WriteFileAtomically(path, "two", why));
   CHECK_FALSE(why.empty());
-  CHECK(ReadWhole(path, 10, why) == "one");
+  CHECK(ReadFile(path, 10, why) == "one");
 }
 
 TEST_CASE("an incomplete state file is ignored, and the router starts") {
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -50,7 +50,7 @@
   Snapshot Await(std::int64_t rev) const {
     for (;;) {
       std::string why;
-      const auto text = ReadWhole(file(), kMaxSnapshotBytes, why);
+      const auto text = ReadFile(file(), kMaxSnapshotBytes, why);
       const auto got = text ? DecodeSnapshot(*text, why) : std::nullopt;
       if (got && got->list.version >= rev) return *got;
       ::usleep(10000);
@@ -151,7 +151,7 @@
   Snapshot suspended = state.Await(7);
   suspended.suspended = {"s2"};
   std::string why;
-  REQUIRE(WriteWhole(state.file(), EncodeSnapshot(suspended), why));
+  REQUIRE(WriteFileAtomically(state.file(), EncodeSnapshot(suspended), why));
   Process restarted =
       Start(Router::Config(silent.address(), ""), silent.address(), {"BRASSWOOD_STATE=" + state.settings});
   Fd client(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
