--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -23,7 +23,7 @@
       << " upstream_tries=" << c.upstream_tries << " refused_stopping=" << c.refused_stopping
       << " failed_stopping=" << c.failed_stopping;
   for (std::size_t i = 0; i < c.clients_ended.size(); ++i) {
-    out << " clients_" << kClientEndNames[i] << '=' << c.clients_ended[i];
+    out << " clients_" << kClientEndReasonNames[i] << '=' << c.clients_ended[i];
   }
   for (std::size_t i = 1; i < c.sends_held_back.size(); ++i) {
     out << " held_back_" << kSendVerdictNames[i] << '=' << c.sends_held_back[i];
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -15,21 +15,21 @@
 namespace brasswood {
 
 // Why a client's connection ended, as seen by the router.
-enum class ClientEnd : std::size_t {
-  kByClient,      // the client closed it, or the connection failed
-  kRested,        // idle for too long
-  kMadeWay,       // evicted in favour of another client
-  kSilent,        // no complete command arrived in time
+enum class ClientEndReason : std::size_t {
+  kClosedByClient,      // the client closed it, or the connection failed
+  kIdleTimeout,        // idle for too long
+  kEvicted,       // evicted in favour of another client
+  kCommandTimeout,        // no complete command arrived in time
   kBadCommand,    // a malformed command: where the next one begins is not known
   kQuit,          // the client sent `quit`
-  kValueCut,      // the rest of a value that was being sent is missing
-  kTakesNothing,  // the client did not read its answers, or did not close, in time
-  kSentAway,      // operators are draining the router
-  kStopping,      // the router is shutting down
+  kValueTruncated,      // the rest of a value that was being sent is missing
+  kClientStalled,  // the client did not read its answers, or did not close, in time
+  kDraining,      // operators are draining the router
+  kShutdown,      // the router is shutting down
   kNoMemory,      // no buffer could be allocated for it
   kCount,
 };
-inline constexpr std::array<const char*, static_cast<std::size_t>(ClientEnd::kCount)> kClientEndNames = {
+inline constexpr std::array<const char*, static_cast<std::size_t>(ClientEndReason::kCount)> kClientEndReasonNames = {
     "by_client", "rested",        "made_way",  "silent",   "bad_command", "quit",
     "value_cut", "takes_nothing", "sent_away", "stopping", "no_memory"};
 
@@ -55,7 +55,7 @@
     std::uint64_t passed = 0, dropped = 0, bad_gateway = 0;  // served, refused, failed
   };
   std::vector<ByClass> by_class;  // by the module's class index
-  std::array<std::uint64_t, static_cast<std::size_t>(ClientEnd::kCount)> clients_ended{};
+  std::array<std::uint64_t, static_cast<std::size_t>(ClientEndReason::kCount)> clients_ended{};
   // Attempts that core/send_guard.h did not allow to be sent, by reason.
   std::array<std::uint64_t, static_cast<std::size_t>(SendVerdict::kCount)> sends_held_back{};
   Invariants invariants;
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -60,7 +60,7 @@
       continue;
     }
     ++counters_.made_way;
-    CloseGracefully(client, ClientEnd::kMadeWay);
+    CloseGracefully(client, ClientEndReason::kEvicted);
   }
 }
 
@@ -75,22 +75,22 @@
   }
   if (client.partial_since == Time(0)) {
     counters_.silent += !client.used;
-    return CloseGracefully(client, client.used ? ClientEnd::kRested : ClientEnd::kSilent);
+    return CloseGracefully(client, client.used ? ClientEndReason::kIdleTimeout : ClientEndReason::kCommandTimeout);
   }
   ++counters_.silent;
-  MarkClosing(client, ClientEnd::kSilent);
+  MarkClosing(client, ClientEndReason::kCommandTimeout);
   Reply(client, "CLIENT_ERROR command not ended in time\r\n");
 }
 
 // Closes an idle connection gracefully. Guards against a command that crosses the close: closing at once
 // would answer it with a reset, and answers that the client has not received yet would be lost.
-void ClientFront::CloseGracefully(Client& client, ClientEnd why) {
+void ClientFront::CloseGracefully(Client& client, ClientEndReason why) {
   MarkClosing(client, why);
   LingeringClose(client);
 }
 
 // Marks the client as closing. Only the first reason counts.
-void ClientFront::MarkClosing(Client& client, ClientEnd why) {
+void ClientFront::MarkClosing(Client& client, ClientEndReason why) {
   if (client.closing) return;
   client.closing = true;
   client.close_reason = why;
@@ -119,7 +119,7 @@
   client.write_shut = true;
   ::shutdown(bufferevent_getfd(client.buffer.get()), SHUT_WR);
   client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.hang_up,
-                                          [this, id = client.id] { Close(id, ClientEnd::kTakesNothing); });
+                                          [this, id = client.id] { Close(id, ClientEndReason::kClientStalled); });
 }
 
 // MSG_TRUNC lets the kernel discard the bytes without copying them: tens of megabytes may arrive.
@@ -128,7 +128,7 @@
   const ssize_t n =
       ::recv(bufferevent_getfd(client.buffer.get()), nullptr, kMaxBytesPerCall, MSG_TRUNC | MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-  if (n <= 0) return Close(client.id, ClientEnd::kByClient);
+  if (n <= 0) return Close(client.id, ClientEndReason::kClosedByClient);
   client.discarded_bytes += static_cast<std::size_t>(n);
   if (client.discarded_bytes <= limits_.discard) return;
   if (client.write_shut) return Close(client.id, client.close_reason);
@@ -138,17 +138,17 @@
 
 // Closes and removes a client; every client ends here. `why` is the reason, unless its sending side
 // had already been shut for another one.
-void ClientFront::Close(std::uint64_t id, ClientEnd why) {
+void ClientFront::Close(std::uint64_t id, ClientEndReason why) {
   auto* found = clients_.Find(id);
   if (found == nullptr) return;
   const std::unique_ptr<Client> client = std::move(*found);
   clients_.Remove(id);
-  const ClientEnd ended = client->closing && client->write_shut ? client->close_reason : why;
+  const ClientEndReason ended = client->closing && client->write_shut ? client->close_reason : why;
   ++counters_.clients_ended[static_cast<std::size_t>(ended)];
   LogLine(Level::kDebug) << "client " << id
-                         << " closed: " << kClientEndNames[static_cast<std::size_t>(ended)]
+                         << " closed: " << kClientEndReasonNames[static_cast<std::size_t>(ended)]
                          << ", pending: " << client->pending.size();
-  const bool by_client = ended == ClientEnd::kByClient || ended == ClientEnd::kTakesNothing;
+  const bool by_client = ended == ClientEndReason::kClosedByClient || ended == ClientEndReason::kClientStalled;
   const std::string_view unanswered =
       client->pending.empty() ? std::string_view() : client->pending.front().id;
   counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeEnd,
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -106,7 +106,7 @@
   });
   if (chosen == 0) return PauseAccepting(kFullPause);  // no client may be evicted
   ++counters_.made_way;
-  Close(chosen, ClientEnd::kMadeWay);
+  Close(chosen, ClientEndReason::kEvicted);
 }
 
 // Guards against requests that wait in the accept queue although a shortage has passed: after one failure
@@ -145,7 +145,7 @@
   client.buffer.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
   if (!client.buffer) {
     evutil_closesocket(fd);
-    ++counters_.clients_ended[static_cast<std::size_t>(ClientEnd::kNoMemory)];
+    ++counters_.clients_ended[static_cast<std::size_t>(ClientEndReason::kNoMemory)];
     return;
   }
   client.last_active = loop_.Now();
@@ -168,8 +168,8 @@
       [](bufferevent*, short what, void* p) {
         auto* at = static_cast<Client*>(p);
         at->front->loop_.RecordPollReturn();
-        if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEnd::kTakesNothing);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) at->front->Close(at->id, ClientEnd::kByClient);
+        if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEndReason::kClientStalled);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) at->front->Close(at->id, ClientEndReason::kClosedByClient);
       },
       &client);
   // Buffers at most one command of the largest size and a little more; the rest waits in the kernel.
@@ -194,7 +194,7 @@
   const std::uint64_t id = client.id;
   // Guards against work for a client that has already closed: its remaining commands are not read, however
   // many there are.
-  if (PeerClosed(bufferevent_getfd(client.buffer.get()))) return Close(id, ClientEnd::kByClient);
+  if (PeerClosed(bufferevent_getfd(client.buffer.get()))) return Close(id, ClientEndReason::kClosedByClient);
   while (!client.closing) {
     if (IsFull(client)) {
       client.read_paused = true;
@@ -215,7 +215,7 @@
     client.partial_since = Time(0);
     if (got == Parsed::kBad) {
       ++counters_.bad_commands;
-      MarkClosing(client, ClientEnd::kBadCommand);
+      MarkClosing(client, ClientEndReason::kBadCommand);
       Reply(client, "CLIENT_ERROR " + command.error + "\r\n");
       break;
     }
@@ -232,7 +232,7 @@
         Reply(client, ReportsReady() ? "MN\r\n" : "SERVER_ERROR not ready\r\n");
         break;
       case Verb::kQuit:
-        MarkClosing(client, ClientEnd::kQuit);
+        MarkClosing(client, ClientEndReason::kQuit);
         break;
       case Verb::kUnknown:
         ++counters_.bad_commands;
@@ -393,7 +393,7 @@
     // client sees the connection end where the value stops.
     if (truncated) {
       client.cut_off = true;
-      MarkClosing(client, ClientEnd::kValueCut);
+      MarkClosing(client, ClientEndReason::kValueTruncated);
     }
   }
   if ((client.read_paused || client.closing || shutdown_.begun() || draining_) && !client.advance_due) {
@@ -410,7 +410,7 @@
   client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.gone_look, [this, id = client.id] {
     Client& at = **clients_.Find(id);
     at.close_check = {};
-    if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEnd::kByClient);
+    if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEndReason::kClosedByClient);
     if (at.read_paused || at.closing) ScheduleCloseCheck(at);
   });
 }
@@ -438,7 +438,7 @@
   // reset, and answers in transit lost. That command is read and answered first.
   const bool ending = shutdown_.begun() || draining_;
   if (ending && client.used && IsIdle(client) && !HasUnreadInput(bufferevent_getfd(client.buffer.get()))) {
-    return CloseGracefully(client, shutdown_.begun() ? ClientEnd::kStopping : ClientEnd::kSentAway);
+    return CloseGracefully(client, shutdown_.begun() ? ClientEndReason::kShutdown : ClientEndReason::kDraining);
   }
   SetTimeout(client);
 }
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -83,7 +83,7 @@
     // the data of its first read can have arrived; otherwise 0.
     Time queued_since{0};
     bool closing = false;  // further commands are ignored; it closes once everything is answered
-    ClientEnd close_reason = ClientEnd::kByClient;  // of a client that is closing
+    ClientEndReason close_reason = ClientEndReason::kClosedByClient;  // of a client that is closing
     bool write_shut = false;                        // everything is answered and the sending side was shut
     bool read_paused = false;                       // not read until some of its answers were sent
     bool read_resumed = false;  // data read now may have waited for the client's own answers
@@ -124,12 +124,12 @@
   void LeaveIdleQueue(Client& client);
   void EvictIdle(IdleQueue& queue);
   void OnTimeout(std::uint64_t id);
-  void CloseGracefully(Client& client, ClientEnd why);
-  void MarkClosing(Client& client, ClientEnd why);
+  void CloseGracefully(Client& client, ClientEndReason why);
+  void MarkClosing(Client& client, ClientEndReason why);
   void LingeringClose(Client& client);
   void DiscardInput(Client& client);
   int EvictionRank(const Client& client, Time now) const;
-  void Close(std::uint64_t id, ClientEnd why);
+  void Close(std::uint64_t id, ClientEndReason why);
   void CancelPending(Client& client);
   void RefuseRequest(Client& client, const std::string& request);
   bool AcceptQueued();
