--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -18,15 +18,15 @@
 // The rules. The names below, not those of the enumerators, are printed.
 enum class Invariant : std::size_t {
   kAnsweredOnce,       // a request has exactly one answer
-  kAnsweredInTime,     // it is answered at most Invariants::kMostLate after its deadline
-  kAnsweredBeforeEnd,  // neither the client's connection nor the process is closed by the router before
+  kAnsweredInTime,     // it is answered at most Invariants::kMaxAnswerDelay after its deadline
+  kAnsweredBeforeClose,  // neither the client's connection nor the process is closed by the router before
                        // that
   kSentInTime,         // an attempt's last byte is sent before its deadline
-  kSentForOpen,        // an attempt is sent only while its request waits for an answer
-  kSentToServing,      // no attempt goes to a server that began to drain longer than the grace period ago
-  kSentAlone,          // no second attempt while one is in flight, unless the settings allow it
-  kSentHarmlessly,     // a request that must not take effect twice is not sent again once it may have run
-  kNoLateWork,         // no request is forwarded that was read after a shutdown's deadline for new work
+  kSentForOpenRequest,        // an attempt is sent only while its request waits for an answer
+  kSentToServingServer,      // no attempt goes to a server that began to drain longer than the grace period ago
+  kOneAttemptAtATime,          // no second attempt while one is in flight, unless the settings allow it
+  kNoDuplicateEffect,     // a request that must not take effect twice is not sent again once it may have run
+  kNoNewWorkAfterDeadline,         // no request is forwarded that was read after a shutdown's deadline for new work
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(Invariant::kCount)> kInvariantNames = {
@@ -37,9 +37,9 @@
 class Invariants {
  public:
   // How long after its request's deadline an answer may come: the process may have been stalled.
-  static constexpr Duration kMostLate = std::chrono::milliseconds(500);
+  static constexpr Duration kMaxAnswerDelay = std::chrono::milliseconds(500);
   // How long after its deadline was checked a byte may be sent, for the same reason.
-  static constexpr Duration kMostHeldUp = std::chrono::milliseconds(150);
+  static constexpr Duration kMaxSendDelay = std::chrono::milliseconds(150);
 
   // Counts and logs a violation unless `holds`. `id`: the request's, or what else the violation concerns.
   void Expect(bool holds, Invariant invariant, std::string_view id) {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -158,7 +158,7 @@
   if (request.ended) return;
   MarkEnded(request);
   const Duration late = now_() - request.deadline;
-  counters_.invariants.Expect(request.streaming != 0 || late <= Invariants::kMostLate,
+  counters_.invariants.Expect(request.streaming != 0 || late <= Invariants::kMaxAnswerDelay,
                               Invariant::kAnsweredInTime, request.content->id);
   CountClass(request.request_class, answer.kind);
   switch (answer.kind) {
@@ -473,11 +473,11 @@
   const bool serving = directory_.Serving(attempt->server, now, grace) &&
                        availability_record_.MaySend(server.uid, now, grace);
   const bool others_end = request->in_flight.size() == 1 || settings_.allowed.parallel_tries;
-  invariants.Expect(!request->ended, Invariant::kSentForOpen, who);
-  invariants.Expect(now < attempt->send_deadline + Invariants::kMostHeldUp, Invariant::kSentInTime, who);
-  invariants.Expect(serving, Invariant::kSentToServing, who);
-  invariants.Expect(others_end, Invariant::kSentAlone, who);
-  invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kSentHarmlessly, who);
+  invariants.Expect(!request->ended, Invariant::kSentForOpenRequest, who);
+  invariants.Expect(now < attempt->send_deadline + Invariants::kMaxSendDelay, Invariant::kSentInTime, who);
+  invariants.Expect(serving, Invariant::kSentToServingServer, who);
+  invariants.Expect(others_end, Invariant::kOneAttemptAtATime, who);
+  invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kNoDuplicateEffect, who);
 }
 
 void Engine::SetInitialList(const ServerList& known, bool old) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -145,7 +145,7 @@
   signals.Unblock();  // all handlers are installed
   loop.Run();
   signals.Block();
-  counters.invariants.Expect(engine.open_requests() == 0, Invariant::kAnsweredBeforeEnd, "exit");
+  counters.invariants.Expect(engine.open_requests() == 0, Invariant::kAnsweredBeforeClose, "exit");
   LogLine(Level::kInfo) << counters;
   LogLine(Level::kInfo) << watch;
 }
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -151,7 +151,7 @@
   const bool by_client = ended == ClientEndReason::kClosedByClient || ended == ClientEndReason::kClientStalled;
   const std::string_view unanswered =
       client->pending.empty() ? std::string_view() : client->pending.front().id;
-  counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeEnd,
+  counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeClose,
                               unanswered);
   loop_.deadlines().Cancel(client->deadline);
   loop_.deadlines().Cancel(client->close_check);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -279,8 +279,8 @@
   client.pending.push_back(std::move(pending));
   const std::uint64_t ticket = tickets_.Add({client.id, number});
   client.pending.back().ticket = ticket;
-  const bool late = shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMostHeldUp;
-  counters_.invariants.Expect(!late, Invariant::kNoLateWork, client.pending.back().id);
+  const bool late = shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMaxSendDelay;
+  counters_.invariants.Expect(!late, Invariant::kNoNewWorkAfterDeadline, client.pending.back().id);
   const RequestId id = engine_.AcceptRequest(*this, ticket, std::move(request));
   if (id == 0) return Deliver(ticket, {AnswerKind::kRefused, {}, limits_.max_retry_after / 4});
   if (tickets_.Find(ticket) != nullptr) client.pending[number - client.first_number].request = id;
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -370,8 +370,8 @@
   };
   const Case cases[] = {
       {Invariant::kCount, [](Fixture&, AttemptId) {}},  // none
-      {Invariant::kSentInTime, [](Fixture& w, AttemptId) { w.now += 900ms + Invariants::kMostHeldUp; }},
-      {Invariant::kSentToServing,
+      {Invariant::kSentInTime, [](Fixture& w, AttemptId) { w.now += 900ms + Invariants::kMaxSendDelay; }},
+      {Invariant::kSentToServingServer,
        [](Fixture& w, AttemptId) {
          ServerList gone;
          gone.version = 9;
