--- a/src/base/send_verdict.h
+++ b/src/base/send_verdict.h
@@ -14,8 +14,8 @@
   kRequestEnded,    // the request was answered, or never accepted
   kClientGone,      // the client has closed its connection
   kTooLate,         // the request's deadline or its window for repeats has passed
-  kAttemptsSpent,   // the request has used all attempts that the settings allow
-  kAttemptOut,      // another attempt of the request is in flight, and the settings allow one at a time
+  kAttemptLimitReached,   // the request has used all attempts that the settings allow
+  kAttemptInFlight,      // another attempt of the request is in flight, and the settings allow one at a time
   kMayHaveRun,      // the request must not run twice, and an earlier attempt may have run
   kServerUnknown,   // the server is not listed
   kServerDraining,  // the server drains or was removed, and half of the grace period is over
--- a/src/core/send_guard.h
+++ b/src/core/send_guard.h
@@ -29,8 +29,8 @@
   if (!facts.server_known) return SendVerdict::kServerUnknown;
   if (!facts.client_present) return SendVerdict::kClientGone;
   if (facts.now >= facts.send_by) return SendVerdict::kTooLate;
-  if (!facts.attempts_left) return SendVerdict::kAttemptsSpent;
-  if (!facts.no_conflict) return SendVerdict::kAttemptOut;
+  if (!facts.attempts_left) return SendVerdict::kAttemptLimitReached;
+  if (!facts.no_conflict) return SendVerdict::kAttemptInFlight;
   if (!facts.repeat_safe) return SendVerdict::kMayHaveRun;
   if (!facts.server_serving) return SendVerdict::kServerDraining;
   if (!facts.same_endpoint) return SendVerdict::kServerMoved;
