--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -4,7 +4,7 @@
 
 namespace brasswood {
 
-const char* NameOf(std::size_t result) {
+const char* ResultName(std::size_t result) {
   static constexpr const char* kResultNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
                                                  "reset", "cancelled", "moot", "miss",    "spoilt"};
   return result < std::size(kResultNames) ? kResultNames[result] : "unknown";
@@ -16,7 +16,7 @@
       << " made_way=" << c.made_way << " served=" << c.served << " refused=" << c.refused
       << " failed=" << c.failed << " gone=" << c.gone << " attempts_sent=" << c.attempts_sent;
   for (std::size_t i = 0; i < c.attempts_ended.size(); ++i) {
-    out << " attempts_" << NameOf(i) << '=' << c.attempts_ended[i];
+    out << " attempts_" << ResultName(i) << '=' << c.attempts_ended[i];
   }
   out << " connections=" << c.connections << " connections_reused=" << c.connections_reused
       << " probes=" << c.probes << " lists=" << c.lists << " lists_refused=" << c.lists_refused
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -62,7 +62,7 @@
 };
 
 // The name of a beechledge::Result, given by its number, in the counters and the log.
-const char* NameOf(std::size_t result);
+const char* ResultName(std::size_t result);
 
 std::ostream& operator<<(std::ostream& out, const Counters& c);
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -314,7 +314,7 @@
   if (request == nullptr) return;
   LogLine(Level::kDebug) << "attempt " << request->content->id << '/' << attempt.number << " at "
                          << directory_.At(attempt.server).uid << ' '
-                         << NameOf(static_cast<std::size_t>(end.result)) << " after "
+                         << ResultName(static_cast<std::size_t>(end.result)) << " after "
                          << latency.count() / 1000 << " us";
   std::erase(request->in_flight, id);
   const auto of = static_cast<std::size_t>(request->request_class);
