--- a/src/base/log.h
+++ b/src/base/log.h
@@ -20,7 +20,7 @@
 void SetLog(std::ostream& output, Level min_level);
 
 // Whether lines of this level are written.
-bool Logs(Level level);
+bool IsLogged(Level level);
 
 // One line of the log, written when the object is destroyed.
 class LogLine {
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -485,7 +485,7 @@
   ready_ = true;
   LogLine(Level::kInfo) << "list of version " << known.version << " loaded at the start, "
                         << known.entries.size() << " servers";
-  if (Logs(Level::kDebug)) LogAvoidedServers();
+  if (IsLogged(Level::kDebug)) LogAvoidedServers();
 }
 
 // Logs the servers that the module avoids, twice a second, so that a test can compare them with the servers
