--- a/src/base/poll_times.h
+++ b/src/base/poll_times.h
@@ -21,20 +21,20 @@
 class PollTimes {
  public:
   // A poll begins. `deadline`: when it returns at the latest, if it has a timeout.
-  void Entered(Time now, std::optional<Time> deadline) {
+  void PollStarted(Time now, std::optional<Time> deadline) {
     previous_return_ = returned_.value_or(entered_);
     entered_ = now;
     deadline_ = deadline;
     returned_.reset();
   }
   // The poll has returned. Calls after the first one since Entered are ignored.
-  void Returned(Time at) {
+  void PollReturned(Time at) {
     if (!returned_) returned_ = std::max(at, entered_);
   }
   bool has_returned() const { return returned_.has_value(); }
-  Time entered() const { return entered_; }
+  Time started() const { return entered_; }
   // The earliest time at which the data that this poll found can have arrived. Call it after Returned.
-  Time Arrived() const {
+  Time EarliestArrival() const {
     const Time returned = returned_.value_or(entered_);
     if (returned - entered_ < kMinWait) return previous_return_;
     if (deadline_ && returned - *deadline_ > kMinWait) return std::max(*deadline_, entered_);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -37,7 +37,7 @@
 // Runs one iteration at a time, so that the time at which each poll begins is known.
 void Loop::Run() {
   while (!stopped_) {
-    polls_.Entered(Now(), deadlines_.Next());
+    polls_.PollStarted(Now(), deadlines_.Next());
     if (event_base_loop(base_.get(), EVLOOP_ONCE) != 0) return;
   }
 }
@@ -53,7 +53,7 @@
   const Duration since = std::chrono::seconds(current.tv_sec - cached.tv_sec) +
                          std::chrono::microseconds(current.tv_usec - cached.tv_usec);
   const Time now = Now();
-  return now - std::clamp(since, Duration(0), std::max(Duration(0), now - polls_.entered()));
+  return now - std::clamp(since, Duration(0), std::max(Duration(0), now - polls_.started()));
 }
 
 // Guards against deadlines that act on outdated state: if the process was stopped, answers and closes may
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -61,13 +61,13 @@
   // Every callback from libevent (a socket, a signal, the timer) calls this first. It records when the poll
   // of this iteration returned.
   void RecordPollReturn() {
-    if (!polls_.has_returned()) polls_.Returned(PollReturned());
+    if (!polls_.has_returned()) polls_.PollReturned(PollReturned());
   }
   // The earliest time at which data read in this iteration can have arrived; never after now. It is long
   // before now if the process was not scheduled or was stopped.
   Time EarliestArrival() {
     RecordPollReturn();
-    return std::min(polls_.Arrived(), Now());
+    return std::min(polls_.EarliestArrival(), Now());
   }
   // Stops the loop permanently. Guards against a stop before Run: libevent does not remember it, and Run
   // would block forever.
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -54,10 +54,10 @@
 TEST_CASE("an event found by a poll arrived between the return of the previous poll and its own") {
   PollTimes polls;
   const auto turn = [&polls](Time entered, Time returned, std::optional<Time> due = std::nullopt) {
-    polls.Entered(entered, due);
-    polls.Returned(returned);
-    polls.Returned(returned + 1h);  // a later callback of the same iteration
-    return polls.Arrived();
+    polls.PollStarted(entered, due);
+    polls.PollReturned(returned);
+    polls.PollReturned(returned + 1h);  // a later callback of the same iteration
+    return polls.EarliestArrival();
   };
   CHECK(turn(10s, 12s) == 12s);               // the poll waited: the event is new
   CHECK(turn(12150ms, 12150ms) == 12s);       // the previous iteration took 150 ms: at any time in it
@@ -65,7 +65,7 @@
   CHECK(turn(13s, 14s, 14s) == 14s);          // the poll ended at the deadline
   CHECK(turn(15s, 16s, 15500ms) == 15500ms);  // the poll ended after the deadline: the process was paused
   CHECK(turn(17s, 17200ms, 16900ms) == 17s);  // but no event was pending when the poll began
-  polls.Entered(18s, std::nullopt);           // an iteration without callbacks
+  polls.PollStarted(18s, std::nullopt);           // an iteration without callbacks
   CHECK(turn(18100ms, 18100ms) == 18s);
 }
 
