--- a/src/base/stable_hash.h
+++ b/src/base/stable_hash.h
@@ -9,7 +9,7 @@
 namespace beechledge {
 
 // Mixes the bits of `x` (the finalizer of SplitMix64).
-inline std::uint64_t Mix(std::uint64_t x) {
+inline std::uint64_t MixBits(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9ULL;
   x ^= x >> 27;
@@ -17,16 +17,16 @@
   return x ^ (x >> 31);
 }
 // Maps random or hashed bits to a number in [0, 1).
-inline double Unit(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
+inline double ToUnitInterval(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
 // The hash of a text: FNV-1a, then Mix.
 inline std::uint64_t StableHash(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ULL;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return Mix(h);
+  return MixBits(h);
 }
 // The hash of a key and a server, by which rendezvous hashing ranks the servers for the key.
 inline std::uint64_t PairHash(std::uint64_t key, std::uint64_t server) {
-  return Mix(key ^ (server * 0x9e3779b97f4a7c15ULL));
+  return MixBits(key ^ (server * 0x9e3779b97f4a7c15ULL));
 }
 
 }  // namespace beechledge
--- a/src/choice/choose.cpp
+++ b/src/choice/choose.cpp
@@ -28,14 +28,14 @@
 // keys are placed in other zones, enough to keep its answers from being slower than theirs.
 bool Balancer::Core::PrefersOwnZone(std::uint64_t key) const {
   if (settings_.prices.cross_zone <= 0 || SampleRate() >= 1) return false;
-  return Unit(Mix(key ^ kOwnZoneSalt)) < own_zone_share_.value();
+  return ToUnitInterval(MixBits(key ^ kOwnZoneSalt)) < own_zone_share_.value();
 }
 
 // The rank of a server for a key by weighted rendezvous hashing, lowest first: each server comes first for
 // its share of the keys, and a changed share moves only the difference. With equal shares this is the order
 // of the hashes, highest first.
 double Balancer::Core::RendezvousRank(std::uint64_t key, const Server& s) {
-  return -std::log(Unit(PairHash(key, s.hash)) + 0x1.0p-54) / s.expected_share;
+  return -std::log(ToUnitInterval(PairHash(key, s.hash)) + 0x1.0p-54) / s.expected_share;
 }
 
 // The server that a key may move to, or -1 for none. If shares have changed so that another server now
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -149,7 +149,7 @@
   void RebuildUpServers();
   void ScheduleListCall(Duration wait);
   void SubscribeToList();
-  double Uniform() { return Unit(random_()); }
+  double Uniform() { return ToUnitInterval(random_()); }
 
   Settings settings_;
   std::mt19937_64 random_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -62,7 +62,7 @@
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
   DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
-                       beechledge::Unit(beechledge::StableHash(config.name)));
+                       beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
   ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
   ClientFrontHooks hooks{[&front_pointer] { return front_pointer != nullptr && front_pointer->Ready(); },
