--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -8,7 +8,7 @@
 
 namespace brasswood {
 
-RouterOperations::RouterOperations(Engine& engine, const Counters& counters, const Names& names,
+RouterOperations::RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names,
                                    ClientFrontHooks front, const Limits& limits, Deadlines& deadlines,
                                    std::function<Time()> now, std::unique_ptr<StateFile> file,
                                    std::unique_ptr<HeartbeatFiles> heartbeats)
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -36,7 +36,7 @@
 class RouterOperations : public Operations {
  public:
   // `file` may be null: then the operator state is not stored. All references must outlive this object.
-  RouterOperations(Engine& engine, const Counters& counters, const Names& names, ClientFrontHooks front,
+  RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names, ClientFrontHooks front,
                    const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
                    std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
 
@@ -72,7 +72,7 @@
 
   Engine& engine_;
   const Counters& counters_;
-  const Names& names_;
+  const SettingNames& names_;
   ClientFrontHooks front_;
   const Limits& limits_;
   Deadlines& deadlines_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -61,7 +61,7 @@
 // Deadlines count as at most this long when the time for a shutdown is computed.
 constexpr Duration kMaxShutdownDeadline = std::chrono::seconds(3);
 
-Limits ComputeLimits(const SettingsRead& settings, double memory_mb, double sockets) {
+Limits ComputeLimits(const ParsedSettings& settings, double memory_mb, double sockets) {
   Limits limits;
   // Reserves one descriptor each for epoll, signals, the listener, discovery and the log, and some
   // headroom. Clients and servers get half of the rest each.
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -25,7 +25,7 @@
   std::string listen, discovery;  // addresses, "a.b.c.d:port"
   std::string admin;              // address of the admin interface; empty: there is none
   std::uint64_t seed = 0;         // of the router's random choices
-  SettingsRead settings;
+  ParsedSettings settings;
   ServerList known;  // the servers to use until discovery has answered
   Limits limits;
 };
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -83,9 +83,9 @@
 
 }  // namespace
 
-SettingsRead ReadSettings(const Value& in) {
+ParsedSettings ReadSettings(const Value& in) {
   using namespace beechledge;
-  SettingsRead result;
+  ParsedSettings result;
   Settings& settings = result.module;
   settings.balancers = Int32Field(in, "balancers", settings.balancers);
   settings.me = Int32Field(in, "me", settings.me);
@@ -154,7 +154,7 @@
   return result;
 }
 
-SettingsRead ReadSettings(std::string_view json) {
+ParsedSettings ReadSettings(std::string_view json) {
   rapidjson::Document document;
   ReadJson(json, document);
   return ReadSettings(document.HasParseError() ? kNull : static_cast<const Value&>(document));
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -15,21 +15,21 @@
 
 // The names of request classes, tenants, zones and server models. The module refers to each by its index
 // here.
-struct Names {
+struct SettingNames {
   std::vector<std::string> classes, tenants, zones, kinds;
 };
 
 // The contents of a settings object.
-struct SettingsRead {
+struct ParsedSettings {
   beechledge::Settings module;
-  Names names;
+  SettingNames names;
   // Servers close connections that have been idle for this long; 0: not stated.
   beechledge::Duration conn_idle{0};
 };
 
 // Never fails: a setting that is missing or of the wrong type keeps its default.
-SettingsRead ReadSettings(const rapidjson::Value& in);
-SettingsRead ReadSettings(std::string_view json);
+ParsedSettings ReadSettings(const rapidjson::Value& in);
+ParsedSettings ReadSettings(std::string_view json);
 
 }  // namespace brasswood
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -54,7 +54,7 @@
   // this process's share while two processes run during a replacement.
   const Limits full_limits = config.limits;
   Limits limits = full_limits;
-  const Names& names = config.settings.names;
+  const SettingNames& names = config.settings.names;
   Engine engine(
       config.settings.module, config.seed, limits, [&loop] { return loop.Now(); }, loop.deadlines(),
       counters);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-ClientFront::ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names,
+ClientFront::ClientFront(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
                          Counters& counters, const std::string& address)
     : loop_(loop),
       engine_(engine),
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -23,7 +23,7 @@
 class ClientFront : public FrontEnd {
  public:
   // Starts to listen on `address`; throws if that fails.
-  ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names, Counters& counters,
+  ClientFront(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names, Counters& counters,
               const std::string& address);
   ~ClientFront() override;
 
@@ -141,7 +141,7 @@
   Loop& loop_;
   Engine& engine_;
   const Limits& limits_;
-  const Names& names_;
+  const SettingNames& names_;
   Counters& counters_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   bool listening_ = true;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -54,7 +54,7 @@
 }
 
 DiscoveryWatch::DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits,
-                               const SettingsRead& settings, std::string address, std::int64_t known,
+                               const ParsedSettings& settings, std::string address, std::int64_t known,
                                double phase)
     : loop_(loop),
       engine_(engine),
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -37,7 +37,7 @@
   // `known`: the version of the list held at the start; negative if there is none. `phase`: from 0 to 1,
   // different for each router, so that the watches of a fleet that become unresponsive or break at the same
   // time are not reopened at the same time.
-  DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits, const SettingsRead& settings,
+  DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits, const ParsedSettings& settings,
                  std::string address, std::int64_t known, double phase = 0);
 
   // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
@@ -90,7 +90,7 @@
   Loop& loop_;
   Engine& engine_;
   const Limits& limits_;
-  const Names& names_;
+  const SettingNames& names_;
   const Time started_;
   const Duration drain_grace_;
   // The sources that are followed, moved to, or still have an open call.
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -23,7 +23,7 @@
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-std::string ReadEntry(const Value& in, const Names& names, ServerEntry& e) {
+std::string ReadEntry(const Value& in, const SettingNames& names, ServerEntry& e) {
   if (!in.IsObject()) return "an entry is not an object";
   e.uid = Text(in, "uid");
   if (e.uid.empty()) return "an entry without uid";
@@ -131,7 +131,7 @@
   return ServerList{list_->version, list_->is_whole, std::exchange(list_->entries, {})};
 }
 
-std::optional<ServerList> ReadServerList(const Value& in, const Names& names, const Limits& limits,
+std::optional<ServerList> ReadServerList(const Value& in, const SettingNames& names, const Limits& limits,
                                          std::string& why) {
   why.clear();
   if (!in.IsObject()) {
@@ -167,7 +167,7 @@
   return list;
 }
 
-std::optional<ServerList> ReadServerList(std::string_view json, const Names& names, const Limits& limits,
+std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names, const Limits& limits,
                                          std::string& why) {
   rapidjson::Document document;
   ReadJson(json, document);
--- a/src/protocol/discovery.h
+++ b/src/protocol/discovery.h
@@ -16,9 +16,9 @@
 
 // Reads a complete server list. If anything in it is invalid, the result is empty and `why` states the
 // reason. Unknown fields are ignored.
-std::optional<ServerList> ReadServerList(const rapidjson::Value& in, const Names& names,
+std::optional<ServerList> ReadServerList(const rapidjson::Value& in, const SettingNames& names,
                                          const Limits& limits, std::string& why);
-std::optional<ServerList> ReadServerList(std::string_view json, const Names& names, const Limits& limits,
+std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names, const Limits& limits,
                                          std::string& why);
 
 // Scans JSON text as it arrives, one character at a time, and keeps track of the nesting depth and of
@@ -49,7 +49,7 @@
 // invalid.
 class ListReader {
  public:
-  ListReader(const Names& names, const Limits& limits) : names_(names), limits_(limits) {}
+  ListReader(const SettingNames& names, const Limits& limits) : names_(names), limits_(limits) {}
 
   // `json`: all text received so far, from its start.
   void Feed(std::string_view json);
@@ -63,7 +63,7 @@
   void SkipToEntries(std::string_view json);
   void ReadCompletedEntry(std::string_view json);
 
-  const Names& names_;
+  const SettingNames& names_;
   const Limits& limits_;
   JsonScanner scanner_;
   State state_ = State::kBeforeEntries;
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -102,7 +102,7 @@
 // Guards against executing a request that its client cannot have meant. A server would refuse such a
 // command or close the connection, which would look like a fault of the server and use up attempts of other
 // requests.
-std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
+std::string BuildRequest(RequestContent content, const SettingNames& names, const Limits& limits,
                          NewRequest& request) {
   request = {};
   request.wait = limits.default_wait;
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -29,7 +29,7 @@
 
 // Fills `request` from a request's content and labels. Returns an empty string, or what is wrong with the
 // labels; such a request must not be executed.
-std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
+std::string BuildRequest(RequestContent content, const SettingNames& names, const Limits& limits,
                          NewRequest& request);
 
 // Formats the answer to a client's request.
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("labels describe a request; unknown names are ignored, invalid values refused") {
-  const Names names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
+  const SettingNames names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
   struct Case {
     std::string labels;
     int request_class, tenant;
@@ -308,7 +308,7 @@
 }
 
 TEST_CASE("server lists are accepted whole or not at all") {
-  const Names names{{}, {}, {"a", "b"}, {"m1", "m2"}};
+  const SettingNames names{{}, {}, {"a", "b"}, {"m1", "m2"}};
   const std::string good = R"({"uid":"s1","endpoint":"127.0.0.1:5","az":"b","model":"m2","pod_group":3,)"
                            R"("state":"in_service","capacity_hint":1.5,"boot_ms":2000,"later":[{}]})";
   const auto list = [](const std::string& targets) {
@@ -339,7 +339,7 @@
 }
 
 TEST_CASE("the complete entries of a truncated server list are read, wherever it is truncated") {
-  const Names names{{}, {}, {"a"}, {"m1"}};
+  const SettingNames names{{}, {}, {"a"}, {"m1"}};
   const std::string entry =
       R"({"uid":"s[1]\"}","endpoint":"127.0.0.1:5","state":"terminating","more":{"targets":[1]}})";
   const std::string gone = R"({"uid":"s2","state":"terminated"})";
