--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -46,7 +46,7 @@
 }
 
 // Whether stored or not, the change is in effect.
-std::string HeldOnly(const std::string& body, const std::string& error) {
+std::string WithStoreError(const std::string& body, const std::string& error) {
   if (error.empty()) return body;
   return body.substr(0, body.find('\n')) + "; held in memory only, not stored: " + error + "\n";
 }
--- a/src/admin/calls.h
+++ b/src/admin/calls.h
@@ -37,7 +37,7 @@
   // Calls `callback` with an empty text once the latest change is stored, or else within
   // Limits::state_disk_timeout with the reason why it is held in memory only (a restart of the process
   // would lose it). Never calls it before returning.
-  virtual void WhenKept(std::function<void(const std::string& error)> callback) = 0;
+  virtual void WhenStored(std::function<void(const std::string& error)> callback) = 0;
   // Closes client connections once they are idle and reports not ready, until Activate.
   virtual void Drain() = 0;
   virtual void Activate() = 0;
@@ -47,12 +47,12 @@
   int status = 200;
   std::string body;
   std::string type = "text/plain";
-  // The call changed stored state: the answer is sent once WhenKept has reported whether it was stored.
-  bool kept = false;
+  // The call changed stored state: the answer is sent once WhenStored has reported whether it was stored.
+  bool wait_until_stored = false;
 };
 
 // Adds to an answer's body that its change could not be stored because of `error`, unless that is empty.
-std::string HeldOnly(const std::string& body, const std::string& error);
+std::string WithStoreError(const std::string& body, const std::string& error);
 
 // Executes a call and returns its answer. `method` and `path` are as received.
 CallAnswer AnswerCall(std::string_view method, std::string_view path, Operations& router);
--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -128,7 +128,7 @@
   }
 }
 
-void RouterOperations::WhenKept(std::function<void(const std::string& error)> callback) {
+void RouterOperations::WhenStored(std::function<void(const std::string& error)> callback) {
   waiters_.push_back({latest_change_, now_() + limits_.state_disk_timeout, std::move(callback)});
   if (!std::exchange(checking_waiters_, true)) ScheduleWaiterCheck();
 }
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -50,7 +50,7 @@
   std::string MetricsText() const override;
   bool Suspend(const std::string& id) override;
   bool Resume(const std::string& id) override;
-  void WhenKept(std::function<void(const std::string& error)> callback) override;
+  void WhenStored(std::function<void(const std::string& error)> callback) override;
   void Drain() override;
   void Activate() override;
 
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -92,14 +92,14 @@
   LogLine(answer.status < 300 || call.path == "/v1/metrics" || call.path == "/v1/readyz" ? Level::kDebug
                                                                                          : Level::kInfo)
       << "admin: " << call.method << ' ' << call.path << ' ' << answer.status;
-  if (!answer.kept) return Respond(caller, answer.status, answer.body, answer.type);
+  if (!answer.wait_until_stored) return Respond(caller, answer.status, answer.body, answer.type);
   // The answer states whether the change was stored. The loop does not wait for the disk.
   caller.answered = true;
   loop_.deadlines().Cancel(caller.deadline);
   caller.deadline = {};
-  router_.WhenKept([this, id = caller.id, answer](const std::string& why) {
+  router_.WhenStored([this, id = caller.id, answer](const std::string& why) {
     auto* found = callers_.Find(id);
-    if (found != nullptr) Respond(**found, answer.status, HeldOnly(answer.body, why), answer.type);
+    if (found != nullptr) Respond(**found, answer.status, WithStoreError(answer.body, why), answer.type);
   });
 }
 
