--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -10,7 +10,7 @@
 
 RouterOperations::RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names,
                                    ClientFrontHooks front, const Limits& limits, Deadlines& deadlines,
-                                   std::function<Time()> now, std::unique_ptr<StateFile> file,
+                                   std::function<Time()> now, std::unique_ptr<OperatorStateFile> file,
                                    std::unique_ptr<HeartbeatFiles> heartbeats)
     : engine_(engine),
       counters_(counters),
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -38,7 +38,7 @@
   // `file` may be null: then the operator state is not stored. All references must outlive this object.
   RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names, ClientFrontHooks front,
                    const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-                   std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
+                   std::unique_ptr<OperatorStateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
 
   // Applies the stored state. Call it before the first server list is applied, so that no attempt goes to a
   // suspended server. Waits for the disk for at most `Limits::state_disk_timeout`.
@@ -78,7 +78,7 @@
   Deadlines& deadlines_;
   std::function<Time()> now_;
   // Shared with the disk thread, which may outlive this object while a call to the disk is stuck.
-  std::shared_ptr<StateFile> file_;
+  std::shared_ptr<OperatorStateFile> file_;
   std::shared_ptr<HeartbeatFiles> heartbeats_;
   std::size_t process_count_ = 1;
   // Numbers of changes by operators: the latest one, and the latest one that is stored.
--- a/src/admin/state_file.cpp
+++ b/src/admin/state_file.cpp
@@ -11,10 +11,10 @@
   return directory == nullptr || *directory == '\0' ? std::string("/tmp") : std::string(directory);
 }
 
-StateFile::StateFile(const std::string& directory, const std::string& name)
+OperatorStateFile::OperatorStateFile(const std::string& directory, const std::string& name)
     : path_(directory + "/brasswood-" + (name.empty() ? std::string("router") : name) + ".operator") {}
 
-std::optional<OperatorState> StateFile::Read(std::string& error) const {
+std::optional<OperatorState> OperatorStateFile::Read(std::string& error) const {
   constexpr std::size_t kMaxBytes = 1 << 20;  // far above any real state; a larger file is not ours
   const auto text = ReadFile(path_, kMaxBytes, error);
   if (!text) return std::nullopt;
@@ -23,7 +23,7 @@
   return state;
 }
 
-bool StateFile::Write(const OperatorState& state, std::string& error) const {
+bool OperatorStateFile::Write(const OperatorState& state, std::string& error) const {
   return WriteFileAtomically(path_, Encode(state), error);
 }
 
--- a/src/admin/state_file.h
+++ b/src/admin/state_file.h
@@ -11,10 +11,10 @@
 
 namespace brasswood {
 
-class StateFile {
+class OperatorStateFile {
  public:
   // `name`: the router's, the same in both processes of a replacement.
-  StateFile(const std::string& directory, const std::string& name);
+  OperatorStateFile(const std::string& directory, const std::string& name);
 
   // Returns nothing and leaves `error` empty if there is no file, because no state was ever stored. Returns
   // nothing and sets `error` if the file cannot be read, is incomplete or has another format.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -79,7 +79,7 @@
   const bool has_admin = !config.admin.empty();
   RouterOperations operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
-      has_admin ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
+      has_admin ? std::make_unique<OperatorStateFile>(StateDirectory(), config.name) : nullptr,
       has_admin ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
                 : nullptr);
   // Restores the snapshot of an earlier process, if the installation has a disk for it. Suspensions are
