--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -67,58 +67,58 @@
   // headroom. Clients and servers get half of the rest each.
   const double reserve = std::min(48.0, sockets / 4);
   const auto sockets_per_side = static_cast<std::size_t>(std::max(4.0, (sockets - reserve) / 2));
-  limits.attempt_conns = sockets_per_side;
+  limits.max_server_connections = sockets_per_side;
   // Memory is divided by purpose, so that the worst case in all of them at once fits: 25% for commands
   // being read, 36% for open requests (one and a half values each), 14% for answers that clients have not
   // read yet, and the last 25% for the program, its tables and the allocator.
   const double memory = memory_mb * 1024 * 1024;
-  const auto command_bytes = static_cast<double>(limits.value + 2 * limits.line);
-  limits.clients = std::max<std::size_t>(
+  const auto command_bytes = static_cast<double>(limits.max_value + 2 * limits.max_line);
+  limits.max_clients = std::max<std::size_t>(
       4, std::min(sockets_per_side, static_cast<std::size_t>(0.25 * memory / command_bytes)));
-  limits.resting = std::max<std::size_t>(8, static_cast<std::size_t>(sockets / 12));
-  limits.resting_again =
-      std::max(limits.resting, std::min(static_cast<std::size_t>(sockets / 4), limits.clients / 2));
-  const double unsent_per_client = 0.14 * memory / static_cast<double>(limits.clients);
-  limits.unsent = static_cast<std::size_t>(
-      std::clamp(unsent_per_client, static_cast<double>(limits.line), static_cast<double>(limits.unsent)));
+  limits.max_idle_clients = std::max<std::size_t>(8, static_cast<std::size_t>(sockets / 12));
+  limits.max_idle_reused_clients =
+      std::max(limits.max_idle_clients, std::min(static_cast<std::size_t>(sockets / 4), limits.max_clients / 2));
+  const double unsent_per_client = 0.14 * memory / static_cast<double>(limits.max_clients);
+  limits.max_unsent = static_cast<std::size_t>(
+      std::clamp(unsent_per_client, static_cast<double>(limits.max_line), static_cast<double>(limits.max_unsent)));
   // 5% fewer requests than connections on either side, so that each request finds a connection to a server,
   // and a client that connects while the maximum of requests is open is accepted and refused instead of
   // waiting in the kernel's queue.
-  const double by_memory = 0.36 * memory / (1.5 * static_cast<double>(limits.value));
-  const double by_sockets = static_cast<double>(std::min(sockets_per_side, limits.clients)) * 0.95;
-  limits.requests = static_cast<std::size_t>(std::max(
+  const double by_memory = 0.36 * memory / (1.5 * static_cast<double>(limits.max_value));
+  const double by_sockets = static_cast<double>(std::min(sockets_per_side, limits.max_clients)) * 0.95;
+  limits.max_requests = static_cast<std::size_t>(std::max(
       1.0, std::min({by_memory, by_sockets, static_cast<double>(settings.module.allowed.max_open)})));
   // One client may hold at most a quarter of the requests; further commands from it wait unread.
-  limits.pipeline = std::clamp<std::size_t>(limits.requests / 4, 4, limits.pipeline);
+  limits.max_pipeline = std::clamp<std::size_t>(limits.max_requests / 4, 4, limits.max_pipeline);
   limits.max_attempts = std::max(1, settings.module.allowed.max_attempts);
   if (settings.module.allowed.connect_timeout > Duration(0))
-    limits.connect = settings.module.allowed.connect_timeout;
+    limits.connect_timeout = settings.module.allowed.connect_timeout;
   // Servers close connections that have been idle for `conn_idle`, so the router closes them at 60% of it.
   // Where a handshake has a price they are kept for 90%: with many servers the next attempt to any one of
   // them usually comes late in that time.
   if (settings.conn_idle > Duration(0))
-    limits.idle = settings.conn_idle * (settings.module.prices.handshake > 0 ? 9 : 6) / 10;
+    limits.server_connection_idle_timeout = settings.conn_idle * (settings.module.prices.handshake > 0 ? 9 : 6) / 10;
   if (settings.module.allowed.retry_after) limits.max_retry_after = settings.module.allowed.max_retry_after;
   Duration longest_deadline{0};
   Duration longest_aim{0};
   for (const auto& request_class : settings.module.classes)
     longest_aim = std::max(longest_aim, Duration(request_class.aim));
   // An answer that stalls is given up early enough for another attempt to be in time.
-  if (longest_aim > Duration(0)) limits.answer = std::min(limits.answer, longest_aim / 8);
+  if (longest_aim > Duration(0)) limits.answer_stall_timeout = std::min(limits.answer_stall_timeout, longest_aim / 8);
   for (const auto& request_class : settings.module.classes) {
     longest_deadline = std::max(longest_deadline, Duration(request_class.deadline));
-    if (request_class.stream) limits.answer = limits.longest_wait;  // it is sent while it is generated
+    if (request_class.stream) limits.answer_stall_timeout = limits.max_deadline;  // it is sent while it is generated
   }
-  if (longest_deadline > Duration(0)) limits.default_wait = longest_deadline;
+  if (longest_deadline > Duration(0)) limits.default_deadline = longest_deadline;
   // A process that was asked to stop may be killed after the longest deadline (at most
   // kMaxShutdownDeadline) plus 0.7 s. A request that was accepted during `linger` (0.5 s) keeps its whole
   // deadline; the remaining 0.2 s allow for a process that is stalled, and for its last answers.
-  limits.stop_within = limits.linger + std::min(limits.default_wait, kMaxShutdownDeadline);
+  limits.shutdown_timeout = limits.shutdown_accept_time + std::min(limits.default_deadline, kMaxShutdownDeadline);
   // An update counts as received shortly after the end of the watch that should have returned it, whether
   // or not it arrived. So a watch waits at most half of the longest time that the rules allow without a
   // call.
   if (settings.module.rules.ask_within > Duration(0)) {
-    limits.watch = std::min(limits.watch, Duration(settings.module.rules.ask_within / 2));
+    limits.watch_time = std::min(limits.watch_time, Duration(settings.module.rules.ask_within / 2));
   }
   return limits;
 }
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -15,103 +15,103 @@
   // Maximum sizes, in bytes.
 
   // A value that is read whole before it is passed on, in either direction. Larger answers are streamed.
-  std::size_t value = 64 * 1024;
-  std::size_t stream_most = 64 << 20;  // a streamed value
+  std::size_t max_value = 64 * 1024;
+  std::size_t max_streamed_value = 64 << 20;  // a streamed value
   // Bytes of a streamed value that wait for the client. Above this the server's connection is not read, so
   // that a slow client does not make the router hold the whole value.
   std::size_t stream_window = 256 * 1024;
-  std::size_t line = 4096;            // a line of a command or an answer
-  std::size_t key = 250;              // a key; memcached's own limit
-  std::size_t http_head = 16 * 1024;  // status line and headers of an HTTP answer
-  std::size_t list = 8 << 20;         // a server list
-  std::size_t unsent = 1 << 20;       // answers that wait for one client; above this it is not read
+  std::size_t max_line = 4096;            // a line of a command or an answer
+  std::size_t max_key = 250;              // a key; memcached's own limit
+  std::size_t max_http_head = 16 * 1024;  // status line and headers of an HTTP answer
+  std::size_t max_list = 8 << 20;         // a server list
+  std::size_t max_unsent = 1 << 20;       // answers that wait for one client; above this it is not read
   // What a client sends after its last answer; it is read and dropped. Closing a socket with unread input
   // sends a reset, which could destroy the answer before the client has read it.
-  std::size_t discard = 80 << 20;
+  std::size_t max_discarded = 80 << 20;
 
   // Maximum counts.
 
-  std::size_t servers = 4096;   // entries of one server list
-  std::size_t pipeline = 128;   // unanswered commands of one client
-  std::size_t interim = 8;      // interim (1xx) answers before the final HTTP answer
-  std::size_t requests = 2048;  // open requests
-  std::size_t clients = 480;    // client connections
+  std::size_t max_servers = 4096;   // entries of one server list
+  std::size_t max_pipeline = 128;   // unanswered commands of one client
+  std::size_t max_interim_answers = 8;      // interim (1xx) answers before the final HTTP answer
+  std::size_t max_requests = 2048;  // open requests
+  std::size_t max_clients = 480;    // client connections
   // Idle client connections. Above this the one that has been idle for longest is closed, so that clients
   // that open a connection for each command and keep the old ones cannot fill the table.
-  std::size_t resting = 40;
+  std::size_t max_idle_clients = 40;
   // The same for connections that were used again after having been idle: closing them costs their clients
   // a new connection, so more of them are kept.
-  std::size_t resting_again = 120;
-  std::size_t attempt_conns = 480;  // connections to servers, including idle ones
+  std::size_t max_idle_reused_clients = 120;
+  std::size_t max_server_connections = 480;  // connections to servers, including idle ones
   int max_attempts = 1;             // attempts of one request
-  std::size_t door_callers = 16;  // connections to the admin interface; the oldest is closed for a new one
+  std::size_t max_admin_connections = 16;  // connections to the admin interface; the oldest is closed for a new one
 
   // Times.
 
-  Duration connect{std::chrono::milliseconds(200)};  // to connect to a server
+  Duration connect_timeout{std::chrono::milliseconds(200)};  // to connect to a server
   // From sending the last byte of an attempt to its arrival at the server. A repeat must arrive within the
   // deduplication window of the first attempt, so it must be sent at least this long before its end.
-  Duration transit{std::chrono::milliseconds(25)};
-  Duration idle{std::chrono::seconds(3)};          // an idle connection to a server is kept this long
-  Duration probe{std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
+  Duration transit_allowance{std::chrono::milliseconds(25)};
+  Duration server_connection_idle_timeout{std::chrono::seconds(3)};          // an idle connection to a server is kept this long
+  Duration probe_timeout{std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
   // For a client's complete command, from its connection or from the command's first byte.
-  Duration speak{std::chrono::milliseconds(2500)};
-  Duration rest{std::chrono::seconds(4)};  // a client connection may be idle this long
+  Duration command_timeout{std::chrono::milliseconds(2500)};
+  Duration client_idle_timeout{std::chrono::seconds(4)};  // a client connection may be idle this long
   // A client connection is idle for at least this long before `resting` or `resting_again` closes it: the
   // next command often follows the answer at once.
-  Duration brief{std::chrono::milliseconds(50)};
+  Duration min_client_idle{std::chrono::milliseconds(50)};
   // In a full table of clients, one may be evicted if it has sent no complete command for this long. A
   // newer one is about to send its command.
-  Duration hurry{std::chrono::milliseconds(250)};
-  Duration hang_up{std::chrono::seconds(2)};  // for a client to close after its last answer
+  Duration evict_silent_after{std::chrono::milliseconds(250)};
+  Duration client_close_timeout{std::chrono::seconds(2)};  // for a client to close after its last answer
   // How often a client whose connection is not being read is checked for having closed it.
-  Duration gone_look{std::chrono::milliseconds(40)};
+  Duration client_gone_check_interval{std::chrono::milliseconds(40)};
   // An answer whose first bytes have come must go on within this, or it counts as malformed.
-  Duration answer{std::chrono::milliseconds(500)};
+  Duration answer_stall_timeout{std::chrono::milliseconds(500)};
   // A connection to a server is preferred for reuse once it has been idle for this long: a close, or bytes
   // sent in excess of an answer, mostly arrive within this time of the answer.
-  Duration settle{std::chrono::milliseconds(25)};
+  Duration reuse_after{std::chrono::milliseconds(25)};
   // A removed server is forgotten after this, so that the tables do not grow where servers are replaced all
   // day.
-  Duration forget{std::chrono::seconds(15)};
-  Duration stream_stall{std::chrono::seconds(2)};   // without a byte from the server of a streamed value
-  Duration write_stall{std::chrono::seconds(10)};   // without a client reading; then it is closed
-  Duration default_wait{std::chrono::seconds(4)};   // deadline of a request that states none
-  Duration longest_wait{std::chrono::seconds(60)};  // the longest deadline that a request may state
+  Duration forget_removed_after{std::chrono::seconds(15)};
+  Duration stream_stall_timeout{std::chrono::seconds(2)};   // without a byte from the server of a streamed value
+  Duration write_stall_timeout{std::chrono::seconds(10)};   // without a client reading; then it is closed
+  Duration default_deadline{std::chrono::seconds(4)};   // deadline of a request that states none
+  Duration max_deadline{std::chrono::seconds(60)};  // the longest deadline that a request may state
 
   // Calls to discovery. A change of the list counts as received 6 s after it happened, even if the router
   // missed it. discovery/list_refresher.h keeps these times plus the waits between calls within that bound.
 
-  Duration watch{std::chrono::milliseconds(3000)};  // discovery may hold a watch (a long poll) this long
+  Duration watch_time{std::chrono::milliseconds(3000)};  // discovery may hold a watch (a long poll) this long
   // Each router's watch is shorter by a fixed part of this, so that they do not all call at the same
   // moment.
   Duration watch_spread{std::chrono::milliseconds(500)};
   // A watch without an answer this long after its end counts as unresponsive.
-  Duration call_grace{std::chrono::milliseconds(1000)};
-  Duration call_up{std::chrono::milliseconds(1000)};  // to connect to discovery
+  Duration watch_grace{std::chrono::milliseconds(1000)};
+  Duration discovery_connect_timeout{std::chrono::milliseconds(1000)};  // to connect to discovery
   // An answer of discovery whose first bytes have come must go on within this.
-  Duration call_answer{std::chrono::milliseconds(1500)};
+  Duration discovery_answer_timeout{std::chrono::milliseconds(1500)};
 
   // Shutdown.
 
-  Duration linger{std::chrono::milliseconds(500)};  // new work is accepted this long after SIGTERM
+  Duration shutdown_accept_time{std::chrono::milliseconds(500)};  // new work is accepted this long after SIGTERM
   // All requests are answered and the process has ended this long after SIGTERM.
-  Duration stop_within{std::chrono::milliseconds(3500)};
+  Duration shutdown_timeout{std::chrono::milliseconds(3500)};
   // When the arrival of a command is estimated, the process is assumed to have been stalled at most this
   // long.
-  Duration held_up{std::chrono::milliseconds(200)};
+  Duration max_assumed_stall{std::chrono::milliseconds(200)};
   // When the time for the shutdown is up, the process waits this long for its last answers to be sent.
-  Duration last_words{std::chrono::milliseconds(50)};
+  Duration shutdown_flush_time{std::chrono::milliseconds(50)};
 
   Duration max_retry_after{0};  // the longest time after which clients are told to retry; 0: never told
 
   // Admin interface and operator state.
 
-  Duration door_call{std::chrono::milliseconds(500)};  // for a complete call, from its connection
-  Duration door_linger{std::chrono::seconds(1)};       // for the caller to read the answer
+  Duration admin_call_timeout{std::chrono::milliseconds(500)};  // for a complete call, from its connection
+  Duration admin_close_timeout{std::chrono::seconds(1)};       // for the caller to read the answer
   // From the confirmation of a resume until the server is used, so that no request reaches the server
   // before the confirmation reaches the operator.
-  Duration put_back{std::chrono::milliseconds(50)};
+  Duration resume_delay{std::chrono::milliseconds(50)};
   // How long the start or a call waits for the disk. Then the start goes on without the stored state, and
   // the call is answered that its change is not stored.
   Duration state_disk_timeout{std::chrono::milliseconds(300)};
@@ -129,13 +129,13 @@
   if (processes <= 1) return whole;
   Limits part = whole;
   const auto share = [&](std::size_t total, std::size_t min) { return std::max(min, total / processes); };
-  part.attempt_conns = share(whole.attempt_conns, 4);
-  part.clients = share(whole.clients, 4);
-  part.resting = std::min(whole.resting, part.clients);
-  part.resting_again = std::min(whole.resting_again, part.clients);
-  part.requests = std::min(whole.requests,
-                           std::max<std::size_t>(1, std::min(part.attempt_conns, part.clients) * 95 / 100));
-  part.pipeline = std::min(whole.pipeline, std::max<std::size_t>(4, part.requests / 4));
+  part.max_server_connections = share(whole.max_server_connections, 4);
+  part.max_clients = share(whole.max_clients, 4);
+  part.max_idle_clients = std::min(whole.max_idle_clients, part.max_clients);
+  part.max_idle_reused_clients = std::min(whole.max_idle_reused_clients, part.max_clients);
+  part.max_requests = std::min(whole.max_requests,
+                           std::max<std::size_t>(1, std::min(part.max_server_connections, part.max_clients) * 95 / 100));
+  part.max_pipeline = std::min(whole.max_pipeline, std::max<std::size_t>(4, part.max_requests / 4));
   return part;
 }
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -111,12 +111,12 @@
 // ---- Requests ----
 
 RequestId Engine::AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request) {
-  if (requests_.size() >= limits_.requests) {
+  if (requests_.size() >= limits_.max_requests) {
     ++counters_.turned_away;
     CountClass(request.request_class, AnswerKind::kRefused);  // the front end refuses it
     return 0;
   }
-  const Duration wait = std::clamp(request.wait, Duration(0), limits_.longest_wait);
+  const Duration wait = std::clamp(request.wait, Duration(0), limits_.max_deadline);
   beechledge::NewRequest event;
   event.request_class = request.request_class;
   event.tenant = request.tenant;
@@ -322,7 +322,7 @@
   if (!beechledge::NeverRan(end.result) && of < settings_.classes.size() &&
       settings_.classes[of].effect == beechledge::Effect::kKeyed) {
     request->repeat_by =
-        std::min(request->repeat_by, attempt.sent + settings_.classes[of].window - limits_.transit);
+        std::min(request->repeat_by, attempt.sent + settings_.classes[of].window - limits_.transit_allowance);
   }
   if (end.result == Result::kOk) {
     AnswerRequest(
@@ -363,7 +363,7 @@
 // becomes unresponsive is aborted.
 void Engine::RestartStallTimer(Attempt& attempt, AttemptId id) {
   deadlines_.Cancel(attempt.deadline);
-  attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall, [this, id] {
+  attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall_timeout, [this, id] {
     AbortAttempt(id, Result::kTimeout);
     Pump();
   });
@@ -410,7 +410,7 @@
 void Engine::Execute(const beechledge::Probe& a) {
   if (!settings_.allowed.probes || a.server >= directory_.size()) return;
   const AttemptId id = attempts_.Add({0, a.server, 0, now_(), {}, {}});
-  attempts_.Find(id)->deadline = deadlines_.Set(now_() + limits_.probe, [this, id] {
+  attempts_.Find(id)->deadline = deadlines_.Set(now_() + limits_.probe_timeout, [this, id] {
     AbortAttempt(id, Result::kTimeout);
     Pump();
   });
@@ -646,7 +646,7 @@
   LogLine(Level::kInfo) << "server " << uid << " resumed by hand; it counts as started now";
   // Guards against requests that reach the server before the operator receives the confirmation: until then
   // the server stays out of service.
-  resume_timers_[uid] = deadlines_.Set(now_() + limits_.put_back, [this, uid] { ReturnToService(uid); });
+  resume_timers_[uid] = deadlines_.Set(now_() + limits_.resume_delay, [this, uid] { ReturnToService(uid); });
   return true;
 }
 
@@ -677,7 +677,7 @@
 // memory and in every loop over servers. A server is forgotten, and its id becomes free, once it was
 // removed Limits::forget ago and no request, attempt or probe in the tables refers to it.
 void Engine::ForgetRemovedServers() {
-  const Time before = now_() - limits_.forget;
+  const Time before = now_() - limits_.forget_removed_after;
   if (!directory_.AnyRemovedBefore(before)) return;
   std::vector<bool> referred(directory_.size());
   requests_.Each([&](RequestId, const Request& request) {
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -27,8 +27,8 @@
   void Begin(Time at) { begun_ = at; }
   bool begun() const { return begun_.has_value(); }
   // Call these two only after Begin.
-  Time last_new_work() const { return *begun_ + limits_.linger; }
-  Time time_up() const { return *begun_ + limits_.stop_within; }
+  Time last_new_work() const { return *begun_ + limits_.shutdown_accept_time; }
+  Time time_up() const { return *begun_ + limits_.shutdown_timeout; }
 
   Phase At(Time now) const {
     if (!begun_) return Phase::kServing;
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -35,7 +35,7 @@
   StartOperation(to, {attempt, std::move(request), false, until, send_deadline});
 }
 void AttemptPool::Probe(AttemptId probe, ServerId to, bool load) {
-  StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe, {}});
+  StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe_timeout, {}});
 }
 
 void AttemptPool::StartOperation(ServerId to, Operation operation) {
@@ -79,7 +79,7 @@
   if (at == idle_.end()) return nullptr;
   std::vector<ConnectionIt>& idle = at->second;
   while (!idle.empty()) {
-    const Time settled = loop_.Now() - limits_.settle;
+    const Time settled = loop_.Now() - limits_.reuse_after;
     auto pick =
         std::find_if(idle.rbegin(), idle.rend(), [&](ConnectionIt p) { return p->idle_since <= settled; });
     Connection& connection = pick == idle.rend() ? *idle.front() : **pick;
@@ -116,7 +116,7 @@
       },
       &connection);
   bufferevent_enable(connection.buffer.get(), EV_READ | EV_WRITE);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect, [this, it = connection.self] {
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect_timeout, [this, it = connection.self] {
     it->deadline = {};
     CloseWithResult(*it, Result::kConnectFailed);
   });
@@ -188,7 +188,7 @@
   if ((what & BEV_EVENT_WRITING) != 0) {
     evbuffer* in = bufferevent_get_input(connection.buffer.get());
     evbuffer_unfreeze(in, 0);
-    const int max_bytes = static_cast<int>(limits_.value + limits_.http_head);
+    const int max_bytes = static_cast<int>(limits_.max_value + limits_.max_http_head);
     const bool received = evbuffer_read(in, bufferevent_getfd(connection.buffer.get()), max_bytes) > 0;
     evbuffer_freeze(in, 0);
     return received && !connection.streaming && HandleAnswer(connection, InputEnd::kOpen) == Parsed::kDone;
@@ -212,7 +212,7 @@
   switch (HandleAnswer(connection, InputEnd::kOpen)) {
     case Parsed::kMore:
       loop_.deadlines().Cancel(connection.deadline);
-      SetAnswerDeadline(connection, limits_.answer);
+      SetAnswerDeadline(connection, limits_.answer_stall_timeout);
       return;
     case Parsed::kBad:
       LogLine(Level::kDebug) << "bad answer from " << engine_.FindServer(connection.server)->uid;
@@ -251,7 +251,7 @@
 bool AttemptPool::TryStartStreaming(Connection& connection) {
   evbuffer* in = bufferevent_get_input(connection.buffer.get());
   const std::size_t have = evbuffer_get_length(in);
-  const std::size_t head_size = std::min(have, limits_.http_head + limits_.line + 8);
+  const std::size_t head_size = std::min(have, limits_.max_http_head + limits_.max_line + 8);
   const std::string_view front(
       reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(head_size))), head_size);
   std::size_t used = 0, trailer = 0;
@@ -259,7 +259,7 @@
   std::optional<std::uint64_t> length;
   bool keep = true;
   const Parsed got = ParseHead(front, connection.operation, used, head, length, trailer, keep);
-  if (got != Parsed::kDone || !length || *length <= limits_.value) return false;  // read it whole
+  if (got != Parsed::kDone || !length || *length <= limits_.max_value) return false;  // read it whole
   evbuffer_drain(in, used);
   loop_.deadlines().Cancel(connection.deadline);
   connection.streaming = true;
@@ -343,7 +343,7 @@
   connection.deadline = loop_.deadlines().Set(loop_.Now() + wait, [this, it = connection.self] {
     it->deadline = {};
     if (HasUnreadInput(bufferevent_getfd(it->buffer.get())))
-      return SetAnswerDeadline(*it, limits_.answer / 4);
+      return SetAnswerDeadline(*it, limits_.answer_stall_timeout / 4);
     CloseWithResult(*it, Result::kSpoilt);
   });
 }
@@ -363,7 +363,7 @@
   connection.idle = true;
   connection.idle_since = loop_.Now();
   idle_[connection.server].push_back(connection.self);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.idle, [this, it = connection.self] {
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.server_connection_idle_timeout, [this, it = connection.self] {
     it->deadline = {};
     CloseConnection(*it);
   });
@@ -410,13 +410,13 @@
 // Makes room for one more connection: if the budget is used up, an idle connection of any pool is closed.
 // If each pool closed only its own, idle connections to cache servers could lock out the origin.
 bool AttemptPool::EnsureCapacity() {
-  return budget_.open < limits_.attempt_conns ||
+  return budget_.open < limits_.max_server_connections ||
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); });
 }
 
 void AttemptPool::Trim() {
-  while (budget_.open > limits_.attempt_conns &&
+  while (budget_.open > limits_.max_server_connections &&
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); })) {
   }
@@ -472,7 +472,7 @@
 Parsed OriginClient::Parse(std::string_view in, const Operation& operation, InputEnd input,
                            std::size_t& used, AttemptResult& end, bool& keep) const {
   HttpAnswer answer;
-  const Parsed got = ParseHttpAnswer(in, limits().value, limits(), input, used, answer);
+  const Parsed got = ParseHttpAnswer(in, limits().max_value, limits(), input, used, answer);
   if (got != Parsed::kDone) return got;
   keep = answer.keep;
   end =
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -18,9 +18,9 @@
   // A client that waits for an answer, or is still receiving one, has no timeout here.
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return;
-  const Time at = !client.used                      ? client.last_active + limits_.speak
-                  : client.partial_since != Time(0) ? client.partial_since + limits_.speak
-                                                    : loop_.Now() + limits_.rest;
+  const Time at = !client.used                      ? client.last_active + limits_.command_timeout
+                  : client.partial_since != Time(0) ? client.partial_since + limits_.command_timeout
+                                                    : loop_.Now() + limits_.client_idle_timeout;
   if (client.used && client.partial_since == Time(0)) EnterIdleQueue(client);
   client.deadline = loop_.deadlines().Set(at, [this, id = client.id] { OnTimeout(id); });
 }
@@ -49,7 +49,7 @@
   queue.eviction = {};
   while (queue.ids.size() > queue.max_size) {
     Client& client = **clients_.Find(queue.ids.front());
-    const Time due = client.idle_since + limits_.brief;
+    const Time due = client.idle_since + limits_.min_client_idle;
     if (due > loop_.Now()) {
       queue.eviction = loop_.deadlines().Set(due, [this, &queue] { EvictIdle(queue); });
       return;
@@ -118,7 +118,7 @@
   if (client.write_shut || !IsIdle(client)) return;
   client.write_shut = true;
   ::shutdown(bufferevent_getfd(client.buffer.get()), SHUT_WR);
-  client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.hang_up,
+  client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.client_close_timeout,
                                           [this, id = client.id] { Close(id, ClientEndReason::kClientStalled); });
 }
 
@@ -130,7 +130,7 @@
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
   if (n <= 0) return Close(client.id, ClientEndReason::kClosedByClient);
   client.discarded_bytes += static_cast<std::size_t>(n);
-  if (client.discarded_bytes <= limits_.discard) return;
+  if (client.discarded_bytes <= limits_.max_discarded) return;
   if (client.write_shut) return Close(client.id, client.close_reason);
   event_del(client.discard.get());  // an answer is still pending: the rest of the input waits in the kernel
   ScheduleCloseCheck(client);
@@ -173,8 +173,8 @@
 }
 
 void ClientFront::Reshare() {
-  idle_used_once_.max_size = limits_.resting;
-  idle_reused_.max_size = limits_.resting_again;
+  idle_used_once_.max_size = limits_.max_idle_clients;
+  idle_reused_.max_size = limits_.max_idle_reused_clients;
   if (idle_used_once_.eviction == Deadlines::Id()) EvictIdle(idle_used_once_);
   if (idle_reused_.eviction == Deadlines::Id()) EvictIdle(idle_reused_);
 }
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -33,8 +33,8 @@
       counters_(counters),
       listener_(nullptr, evconnlistener_free),
       shutdown_(limits) {
-  idle_used_once_.max_size = limits_.resting;
-  idle_reused_.max_size = limits_.resting_again;
+  idle_used_once_.max_size = limits_.max_idle_clients;
+  idle_reused_.max_size = limits_.max_idle_reused_clients;
   const auto at = ParseAddress(address);
   if (!at) throw std::runtime_error("not an address to listen on: " + address);
   listener_.reset(evconnlistener_new_bind(
@@ -80,8 +80,8 @@
   if (client.write_shut) return 0;
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return -1;
-  if (client.partial_since != Time(0)) return now - client.partial_since > limits_.hurry ? 3 : -1;
-  if (!client.used) return now - client.last_active > limits_.hurry ? 1 : -1;
+  if (client.partial_since != Time(0)) return now - client.partial_since > limits_.evict_silent_after ? 3 : -1;
+  if (!client.used) return now - client.last_active > limits_.evict_silent_after ? 1 : -1;
   return 2;
 }
 
@@ -92,7 +92,7 @@
 // has not acknowledged its last answer: a command that crosses the close would cause a reset, and the
 // answer would be lost.
 void ClientFront::EvictIfFull() {
-  if (clients_.size() < limits_.clients) return;
+  if (clients_.size() < limits_.max_clients) return;
   const Time now = loop_.Now();
   std::uint64_t chosen = 0;
   std::pair<int, Time> lowest{4, Time(0)};
@@ -173,8 +173,8 @@
       },
       &client);
   // Buffers at most one command of the largest size and a little more; the rest waits in the kernel.
-  bufferevent_setwatermark(client.buffer.get(), EV_READ, 0, limits_.value + 2 * limits_.line);
-  const auto stall = std::chrono::duration_cast<std::chrono::seconds>(limits_.write_stall).count();
+  bufferevent_setwatermark(client.buffer.get(), EV_READ, 0, limits_.max_value + 2 * limits_.max_line);
+  const auto stall = std::chrono::duration_cast<std::chrono::seconds>(limits_.write_stall_timeout).count();
   const timeval write_timeout{static_cast<time_t>(stall), 0};
   bufferevent_set_timeouts(client.buffer.get(), nullptr, &write_timeout);
   bufferevent_enable(client.buffer.get(), EV_READ | EV_WRITE);
@@ -185,9 +185,9 @@
 // Whether no more commands of this client are read for now: too many are unanswered, or too many answer
 // bytes are unsent.
 bool ClientFront::IsFull(const Client& client) const {
-  return client.pending.size() >= limits_.pipeline ||
+  return client.pending.size() >= limits_.max_pipeline ||
          client.held_bytes + evbuffer_get_length(bufferevent_get_output(client.buffer.get())) >=
-             limits_.unsent;
+             limits_.max_unsent;
 }
 
 void ClientFront::ReadCommands(Client& client) {
@@ -258,7 +258,7 @@
   if (queued) return unread ? std::max(client.queued_since, now - *unread) : client.queued_since;
   const Time arrived = loop_.EarliestArrival();
   if (!unread || client.read_resumed) return arrived;
-  return std::min(arrived, now - std::min(*unread, limits_.held_up));
+  return std::min(arrived, now - std::min(*unread, limits_.max_assumed_stall));
 }
 
 void ClientFront::StartRequest(Client& client, RequestContent content) {
@@ -407,7 +407,7 @@
 // client that closes.
 void ClientFront::ScheduleCloseCheck(Client& client) {
   loop_.deadlines().Cancel(client.close_check);
-  client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.gone_look, [this, id = client.id] {
+  client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.client_gone_check_interval, [this, id = client.id] {
     Client& at = **clients_.Find(id);
     at.close_check = {};
     if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEndReason::kClosedByClient);
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -62,7 +62,7 @@
   counters_.failed_stopping += failed;
   LogLine(failed == 0 ? Level::kInfo : Level::kWarn)
       << "the shutdown's time is up; requests failed: " << failed << ", clients: " << clients_.size();
-  loop_.deadlines().Set(loop_.Now() + limits_.last_words, [this] { on_stopped_(); });
+  loop_.deadlines().Set(loop_.Now() + limits_.shutdown_flush_time, [this] { on_stopped_(); });
 }
 
 // Checks repeatedly until two consecutive checks, 25 ms apart, find nothing open, and then ends the
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -19,10 +19,10 @@
   RefreshLimits refresh;
   // Spread by router: otherwise the watches of routers that started together would be answered, and would
   // time out, at the same time.
-  refresh.watch = limits.watch - part(limits.watch_spread);
-  refresh.watch_grace = limits.call_grace;
-  refresh.connect = limits.call_up;
-  refresh.answer = limits.call_answer;
+  refresh.watch = limits.watch_time - part(limits.watch_spread);
+  refresh.watch_grace = limits.watch_grace;
+  refresh.connect = limits.discovery_connect_timeout;
+  refresh.answer = limits.discovery_answer_timeout;
   refresh.drain_grace = settings.rules.drain_grace;
   refresh.reopen_offset = settings.list_agent ? Duration(0) : part(limits.watch_spread / 2);
   refresh.agent = settings.list_agent;
@@ -45,7 +45,7 @@
 DiscoveryWatch::Call::Call(DiscoveryWatch& owner, const OpenCall& action, Time now)
     : watch(&owner),
       id(action.id),
-      answer(owner.limits_.list, owner.limits_),
+      answer(owner.limits_.max_list, owner.limits_),
       list(owner.names_, owner.limits_) {
   origin.source = action.source;
   origin.call = action.id;
@@ -177,7 +177,7 @@
   if (!to || !call.buffer) return false;
   bufferevent* const buffer = call.buffer.get();
   SetCallbacks(call);
-  bufferevent_setwatermark(buffer, EV_READ, 0, limits_.list + limits_.http_head);
+  bufferevent_setwatermark(buffer, EV_READ, 0, limits_.max_list + limits_.max_http_head);
   bufferevent_enable(buffer, EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(buffer, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0)
     return false;
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -44,7 +44,7 @@
 void Door::Accept(evutil_socket_t fd) {
   // Guards against many silent callers that lock out one that sends a request: the oldest connection is
   // closed, and a complete request is answered long before its connection is the oldest.
-  if (callers_.size() >= limits_.door_callers && !order_.empty()) Close(order_.front());
+  if (callers_.size() >= limits_.max_admin_connections && !order_.empty()) Close(order_.front());
   auto owned = std::make_unique<Caller>();
   Caller& caller = *owned;
   caller.door = this;
@@ -67,7 +67,7 @@
   bufferevent_setwatermark(caller.buffer.get(), EV_READ, 0, bounds_.head + bounds_.body + 8);
   bufferevent_enable(caller.buffer.get(), EV_READ | EV_WRITE);
   caller.deadline =
-      loop_.deadlines().Set(loop_.Now() + limits_.door_call, [this, id = caller.id] { OnTimeout(id); });
+      loop_.deadlines().Set(loop_.Now() + limits_.admin_call_timeout, [this, id = caller.id] { OnTimeout(id); });
 }
 
 void Door::OnRead(Caller& caller) {
@@ -111,7 +111,7 @@
   // answer. A caller that does not receive the answer is closed after Limits::door_linger.
   loop_.deadlines().Cancel(caller.deadline);
   caller.deadline =
-      loop_.deadlines().Set(loop_.Now() + limits_.door_linger, [this, id = caller.id] { Close(id); });
+      loop_.deadlines().Set(loop_.Now() + limits_.admin_close_timeout, [this, id = caller.id] { Close(id); });
 }
 
 void Door::OnWritten(Caller& caller) {
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -118,7 +118,7 @@
   ReadJson(json, document);
   ServerEntry entry;
   const bool valid = !document.HasParseError() && ReadEntry(document, names_, entry).empty();
-  if (!valid || ++entries_ > limits_.servers) {
+  if (!valid || ++entries_ > limits_.max_servers) {
     state_ = State::kEnded;
     list_.reset();
     return;
@@ -150,7 +150,7 @@
     why = "all is not true or false";
   } else if (targets == nullptr || !targets->IsArray()) {
     why = "targets is not a list";
-  } else if (targets->Size() > limits.servers) {
+  } else if (targets->Size() > limits.max_servers) {
     why = "too many servers";
   }
   if (!why.empty()) return std::nullopt;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -97,8 +97,8 @@
 Parsed ParseOneHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
                     HttpHead& framing) {
   answer = {};
-  const std::size_t head_end = in.substr(0, limits.http_head + 4).find("\r\n\r\n");
-  if (head_end == in.npos) return in.size() >= limits.http_head + 4 ? Parsed::kBad : Parsed::kMore;
+  const std::size_t head_end = in.substr(0, limits.max_http_head + 4).find("\r\n\r\n");
+  if (head_end == in.npos) return in.size() >= limits.max_http_head + 4 ? Parsed::kBad : Parsed::kMore;
   std::string_view head = in.substr(0, head_end);
   if (!head.starts_with("HTTP/1.") || head.size() < 12 || head[8] != ' ') return Parsed::kBad;
   answer.keep = head[7] != '0';
@@ -125,7 +125,7 @@
 Parsed ParseFinalHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
                       HttpHead& framing) {
   std::size_t at = 0;
-  for (std::size_t n = 0; n <= limits.interim; ++n) {
+  for (std::size_t n = 0; n <= limits.max_interim_answers; ++n) {
     std::size_t taken = 0;
     const Parsed got = ParseOneHead(in.substr(at), limits, taken, answer, framing);
     if (got != Parsed::kDone) return got;
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -60,7 +60,7 @@
 }
 
 void CheckKey(const Limits& limits, Command& c) {
-  if (!IsWord(c.content.key) || c.content.key.size() > limits.key) c.error = "bad key";
+  if (!IsWord(c.content.key) || c.content.key.size() > limits.max_key) c.error = "bad key";
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
 Parsed ParseCommand(std::string_view in, const Limits& limits, std::size_t& used, Command& c) {
   c = {};
   std::string_view line;
-  const Parsed got = ParseLine(in, limits.line, line, used);
+  const Parsed got = ParseLine(in, limits.max_line, line, used);
   if (got == Parsed::kBad) c.error = "line too long";
   if (got != Parsed::kDone) return got;
   std::string_view rest = line;
@@ -85,7 +85,7 @@
     c.content.write = true;
     c.content.key = NextWord(rest);
     const auto length = WholeNumber(NextWord(rest));
-    if (!length || *length > limits.value) {  // where the next command begins is unknown, or too far away
+    if (!length || *length > limits.max_value) {  // where the next command begins is unknown, or too far away
       c.error = length ? "value too large" : "bad length";
       return Parsed::kBad;
     }
@@ -105,7 +105,7 @@
 std::string BuildRequest(RequestContent content, const SettingNames& names, const Limits& limits,
                          NewRequest& request) {
   request = {};
-  request.wait = limits.default_wait;
+  request.wait = limits.default_deadline;
   std::string error;
   std::vector<std::pair<std::string_view, std::string_view>> seen;
   EachLabel(content.labels, [&](std::string_view name, std::string_view value) {
@@ -125,7 +125,7 @@
     if (name == "d") {
       const auto ms = WholeNumber(value);
       const auto max_ms =
-          std::chrono::duration_cast<std::chrono::milliseconds>(limits.longest_wait).count();
+          std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_deadline).count();
       if (!ms) error = "bad deadline";
       request.wait = std::chrono::milliseconds(
           std::min<std::uint64_t>(ms.value_or(0), static_cast<std::uint64_t>(max_ms)));
@@ -179,7 +179,7 @@
   end = {};
   value.reset();
   std::string_view rest;
-  const Parsed got = ParseLine(in, limits.line, rest, used);
+  const Parsed got = ParseLine(in, limits.max_line, rest, used);
   if (got != Parsed::kDone) return got;
   const std::string_view head = NextWord(rest);
   if (head == "SERVER_ERROR") {
@@ -229,12 +229,12 @@
 Parsed ParseAttemptReply(std::string_view in, const RequestContent& request, const Limits& limits,
                          std::size_t& used, AttemptResult& end) {
   std::optional<std::uint64_t> unused;
-  return ParseReply(in, request, limits, limits.value, false, used, end, unused);
+  return ParseReply(in, request, limits, limits.max_value, false, used, end, unused);
 }
 
 Parsed ParseAttemptHead(std::string_view in, const RequestContent& request, const Limits& limits,
                         std::size_t& used, AttemptResult& end, std::optional<std::uint64_t>& length) {
-  return ParseReply(in, request, limits, limits.stream_most, true, used, end, length);
+  return ParseReply(in, request, limits, limits.max_streamed_value, true, used, end, length);
 }
 
 void SetReportField(beechledge::LoadReport& r, std::string_view name, double value) {
@@ -251,7 +251,7 @@
   end = {};
   std::string_view line;
   std::size_t at = 0, n = 0;
-  const Parsed got = ParseLine(in, limits.line, line, at);
+  const Parsed got = ParseLine(in, limits.max_line, line, at);
   used = at;
   if (got != Parsed::kDone) return got;
   if (line.starts_with("SERVER_ERROR")) {
@@ -260,8 +260,8 @@
   }
   end.result = Result::kOk;
   if (!load) return line == "MN" ? Parsed::kDone : Parsed::kBad;
-  for (at = 0; at <= limits.line; at += n) {
-    const Parsed next = ParseLine(in.substr(at), limits.line, line, n);
+  for (at = 0; at <= limits.max_line; at += n) {
+    const Parsed next = ParseLine(in.substr(at), limits.max_line, line, n);
     if (next != Parsed::kDone) return next;
     used = at + n;
     if (line == "END") return Parsed::kDone;
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -122,7 +122,7 @@
     settings.allowed.cancel = true;
     settings.rules.drain_grace = 1s;
     limits.max_attempts = 3;
-    limits.requests = 4;
+    limits.max_requests = 4;
     engine.emplace(
         settings, 1, limits, [this] { return now += tick; }, deadlines, counters);
     ends.engine = &*engine;
@@ -273,7 +273,7 @@
 // Guards against tables that only grow while servers are replaced all day.
 TEST_CASE("removed servers are forgotten and their ids reused, except those still referred to") {
   Fixture w;
-  w.limits.forget = 50ms;
+  w.limits.forget_removed_after = 50ms;
   w.Take(7);  // sent to one of the two servers, and not answered
   const ServerId asked = w.ends.attempts[0].second;
   for (int n = 0; n < 100; ++n) {  // each list contains only one new server
@@ -446,7 +446,7 @@
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   w.Receive(again);
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
-  w.AdvanceTo(w.now + w.limits.put_back);
+  w.AdvanceTo(w.now + w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kUp);
   CHECK(w.engine->FindServer(0)->started >= resumed);  // operators restart it meanwhile: it is cold
   w.Receive(again);                                    // a list with the old boot time leaves it cold
@@ -460,10 +460,10 @@
   REQUIRE(w.engine->Suspend("s1"));
   REQUIRE(w.engine->Resume("s1"));
   REQUIRE(w.engine->Suspend("s1"));
-  w.AdvanceTo(w.now + 2 * w.limits.put_back);
+  w.AdvanceTo(w.now + 2 * w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   REQUIRE(w.engine->Resume("s1"));
-  w.AdvanceTo(w.now + w.limits.put_back);
+  w.AdvanceTo(w.now + w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kUp);
 }
 
@@ -516,7 +516,7 @@
 
 TEST_CASE("a streamed value continues past its request's deadline until its server becomes unresponsive") {
   Fixture w;
-  w.limits.stream_stall = 300ms;
+  w.limits.stream_stall_timeout = 300ms;
   w.Take(1);
   const AttemptId attempt = w.ends.attempts[0].first;
   REQUIRE(w.engine->StreamStarted(attempt, 1 << 20));
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -432,25 +432,25 @@
 
 TEST_CASE("two processes of one router divide its limits, and a single one has all of them") {
   Limits whole;
-  whole.attempt_conns = 168;
-  whole.clients = 168;
-  whole.requests = 159;
-  whole.resting = 32;
-  whole.resting_again = 84;
-  CHECK(LimitsPerProcess(whole, 1).attempt_conns == 168);
-  CHECK(LimitsPerProcess(whole, 0).clients == 168);
+  whole.max_server_connections = 168;
+  whole.max_clients = 168;
+  whole.max_requests = 159;
+  whole.max_idle_clients = 32;
+  whole.max_idle_reused_clients = 84;
+  CHECK(LimitsPerProcess(whole, 1).max_server_connections == 168);
+  CHECK(LimitsPerProcess(whole, 0).max_clients == 168);
   const Limits half = LimitsPerProcess(whole, 2);
-  CHECK(half.attempt_conns + half.attempt_conns <= whole.attempt_conns);
-  CHECK(half.clients + half.clients <= whole.clients);
-  CHECK(half.requests <= half.attempt_conns);
-  CHECK(half.requests <= half.clients);
-  CHECK(half.resting <= half.clients);
-  CHECK(half.resting_again <= half.clients);
-  CHECK(half.value == whole.value);  // sizes and times are not divided
-  CHECK(half.speak == whole.speak);
+  CHECK(half.max_server_connections + half.max_server_connections <= whole.max_server_connections);
+  CHECK(half.max_clients + half.max_clients <= whole.max_clients);
+  CHECK(half.max_requests <= half.max_server_connections);
+  CHECK(half.max_requests <= half.max_clients);
+  CHECK(half.max_idle_clients <= half.max_clients);
+  CHECK(half.max_idle_reused_clients <= half.max_clients);
+  CHECK(half.max_value == whole.max_value);  // sizes and times are not divided
+  CHECK(half.command_timeout == whole.command_timeout);
   Limits tiny;
-  tiny.attempt_conns = tiny.clients = 6;
-  CHECK(LimitsPerProcess(tiny, 3).attempt_conns >= 4);  // the minimum
+  tiny.max_server_connections = tiny.max_clients = 6;
+  CHECK(LimitsPerProcess(tiny, 3).max_server_connections >= 4);  // the minimum
 }
 
 TEST_CASE(
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -110,7 +110,7 @@
 TEST_CASE("when a client closes while it is not read, its attempts are closed and no others start") {
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) { l.pipeline = 1; });
+                   [](Limits& l) { l.max_pipeline = 1; });
   Fd client = router.Connect(), other = router.Connect();
   client.Write(Read("k1", "a1", 60000) + Read("k2", "a2", 60000) + Read("k3", "a3", 60000));
   Fd attempt = server.Accept();
@@ -124,7 +124,7 @@
 TEST_CASE("when a client keeps sending after quit and then closes, its attempts are closed") {
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) { l.discard = 1000; });
+                   [](Limits& l) { l.max_discarded = 1000; });
   Fd client = router.Connect();
   client.Write(Read("k1", "a1", 60000) + "quit\r\n" + std::string(5000, 'x'));  // more than is discarded
   Fd attempt = server.Accept();
@@ -199,8 +199,8 @@
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
-                     l.clients = 1;
-                     l.hurry = 300ms;
+                     l.max_clients = 1;
+                     l.evict_silent_after = 300ms;
                    });
   Fd silent = router.Connect();
   std::this_thread::sleep_for(50ms);  // it is accepted, and the table is full
@@ -317,8 +317,8 @@
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
-                     l.clients = 2;
-                     l.hurry = l.speak = l.rest = 1h;  // no client is closed for being slow
+                     l.max_clients = 2;
+                     l.evict_silent_after = l.command_timeout = l.client_idle_timeout = 1h;  // no client is closed for being slow
                    });
   Fd client = ConnectTo(router.address(), SlowClient());
   Fd attempt = SendUnreadAnswer(client, server);
@@ -368,7 +368,7 @@
       Router::Config(discovery.address(), Target("s1", server.address(), "in_service") + "," +
                                               Target("s2", other.address(), "in_service"));
   config = Replaced(config, R"("cancel":true,)", R"("cancel":true,"parallel_tries":true,)");
-  InProcess router(config, [](Limits& l) { l.idle = 50ms; });
+  InProcess router(config, [](Limits& l) { l.server_connection_idle_timeout = 50ms; });
   Fd client = router.Connect();
   std::vector<std::pair<Fd, bool>> attempts;  // true: at `server`, false: at `other`
   bool other_accepts = true;
@@ -508,8 +508,8 @@
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
-                     l.watch = 1h;
-                     l.call_answer = 50ms;
+                     l.watch_time = 1h;
+                     l.discovery_answer_timeout = 50ms;
                    });
   Fd watch = discovery.Accept();
   WatchCall(watch);
@@ -528,10 +528,10 @@
   Listener server, discovery;
   InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
                    [](Limits& l) {
-                     l.watch = 30ms;
+                     l.watch_time = 30ms;
                      l.watch_spread = 0ms;
-                     l.call_grace = 30ms;
-                     l.call_answer = 50ms;
+                     l.watch_grace = 30ms;
+                     l.discovery_answer_timeout = 50ms;
                    });
   Fd watch = discovery.Accept();
   CHECK(WatchCall(watch).find("since=1&timeout_ms=30 ") != std::string::npos);
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -19,9 +19,9 @@
 
 Limits Small() {
   Limits l;
-  l.line = 120;
-  l.value = 40;
-  l.http_head = 200;
+  l.max_line = 120;
+  l.max_value = 40;
+  l.max_http_head = 200;
   l.max_retry_after = 2s;
   return l;
 }
@@ -111,11 +111,11 @@
   for (const Case& c :
        std::vector<Case>{{"c=put,t=zeta,d=480,r=1", 1, 1, 480ms, true},
                          {"c=read,later=7,d=0", 0, 0, 0ms, false},
-                         {"c=put,t=who", 1, 0, kLimits.default_wait, false},
-                         {"c=put,d=18446744073709551615", 1, 0, kLimits.longest_wait, false},
-                         {"c=put,c=put,size=nan,x", 1, 0, kLimits.default_wait, false},
-                         {"", -1, 0, kLimits.default_wait, false, "unknown class"},
-                         {",,=,c", -1, 0, kLimits.default_wait, false, "unknown class"},
+                         {"c=put,t=who", 1, 0, kLimits.default_deadline, false},
+                         {"c=put,d=18446744073709551615", 1, 0, kLimits.max_deadline, false},
+                         {"c=put,c=put,size=nan,x", 1, 0, kLimits.default_deadline, false},
+                         {"", -1, 0, kLimits.default_deadline, false, "unknown class"},
+                         {",,=,c", -1, 0, kLimits.default_deadline, false, "unknown class"},
                          {"c=what,d=5", -1, 0, 5ms, false, "unknown class"},
                          {"c=read,d=-5", 0, 0, 0ms, false, "bad deadline"},
                          {"c=read,d=soon", 0, 0, 0ms, false, "bad deadline"},
@@ -271,7 +271,7 @@
     INFO(c.in);
     std::size_t used = 0;
     HttpAnswer answer;
-    REQUIRE(ParseHttpAnswer(c.in, kLimits.value, kLimits, c.end, used, answer) == c.parsed);
+    REQUIRE(ParseHttpAnswer(c.in, kLimits.max_value, kLimits, c.end, used, answer) == c.parsed);
     if (c.parsed != Parsed::kDone) continue;
     CHECK(used == c.in.size());
     CHECK(answer.status == c.status);
@@ -282,7 +282,7 @@
     const InputEnd input_end = c.in.starts_with(no_length) ? InputEnd::kOpen : InputEnd::kClosed;
     for (std::size_t n = 0; n < c.in.size(); ++n) {
       const std::string_view part = std::string_view(c.in).substr(0, n);
-      CHECK(ParseHttpAnswer(part, kLimits.value, kLimits, input_end, used, answer) == Parsed::kMore);
+      CHECK(ParseHttpAnswer(part, kLimits.max_value, kLimits, input_end, used, answer) == Parsed::kMore);
     }
   }
 }
@@ -427,26 +427,26 @@
   CHECK(c.name == "n1");
   CHECK(c.seed == 255);
   CHECK(c.known.version == 4);
-  CHECK(c.limits.idle == 3s);
+  CHECK(c.limits.server_connection_idle_timeout == 3s);
   std::string priced = good;  // if a handshake has a price, connections are kept idle for longer
   priced.replace(priced.find("\"allowed\""), 0, R"("fees":{"handshake":0.08},)");
-  CHECK(ReadConfig(priced, "", "", "").limits.idle == 4500ms);
+  CHECK(ReadConfig(priced, "", "", "").limits.server_connection_idle_timeout == 4500ms);
   CHECK(c.limits.max_attempts == 3);
-  CHECK(c.limits.answer == 500ms);
+  CHECK(c.limits.answer_stall_timeout == 500ms);
   std::string quick = good;  // an answer that stops half-way must be detected well within the aim
   quick.replace(quick.find("\"give_up\""), 0, "\"aim\":400000000,");
-  CHECK(ReadConfig(quick, "", "", "").limits.answer == 50ms);
-  CHECK(c.limits.clients + c.limits.attempt_conns < 90);
-  CHECK(c.limits.requests * c.limits.value < 64u << 20);
+  CHECK(ReadConfig(quick, "", "", "").limits.answer_stall_timeout == 50ms);
+  CHECK(c.limits.max_clients + c.limits.max_server_connections < 90);
+  CHECK(c.limits.max_requests * c.limits.max_value < 64u << 20);
   for (const auto& [memory, sockets] : {std::pair{32u, 256}, {192u, 1024}, {48u, 384}}) {
     std::string sized = good;  // what peers can make it buffer leaves a fifth of the memory to the program
     sized.replace(sized.find("100,\"memory_mb\":64"), 18,
                   std::to_string(sockets) + ",\"memory_mb\":" + std::to_string(memory));
     const Limits l = ReadConfig(sized, "", "", "").limits;
-    const std::size_t worst = l.clients * (l.value + 2 * l.line + l.unsent) + l.requests * l.value * 3 / 2;
+    const std::size_t worst = l.max_clients * (l.max_value + 2 * l.max_line + l.max_unsent) + l.max_requests * l.max_value * 3 / 2;
     CHECK(worst < std::size_t{memory} * 1024 * 1024 * 4 / 5);
-    CHECK(l.clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
-    CHECK(l.pipeline <= l.requests / 4);
+    CHECK(l.max_clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
+    CHECK(l.max_pipeline <= l.max_requests / 4);
   }
   for (const auto& [from, to] :
        std::vector<std::pair<std::string, std::string>>{{"127.0.0.1:2", "discovery.local:2"},
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -162,7 +162,7 @@
 // list is received within kTold.
 TEST(ListCalls, TheListIsReceivedInTimeHoweverManyCallsFail) {
   const brasswood::Limits limits;
-  const Duration failures[] = {Duration(0), limits.call_up, limits.call_answer};
+  const Duration failures[] = {Duration(0), limits.discovery_connect_timeout, limits.discovery_answer_timeout};
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937_64 random(seed);
     const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
@@ -175,7 +175,7 @@
     if (swallowed) {  // it stops answering a watch that has just begun, but answers others
       calls.ListReceived(now);
       back = now;
-      now += limits.watch + limits.call_grace;
+      now += limits.watch_time + limits.watch_grace;
     } else {  // it is down for a while; the call in progress when it returns still fails
       back = now + FromSeconds(20 * random_share());
       now += calls.First(random_share());
@@ -248,7 +248,7 @@
           next.emplace(now, r);
         } else {
           watching[r] = true;
-          next.emplace(now + limits.watch - FromSeconds(Seconds(limits.watch_spread) * random_share()), r);
+          next.emplace(now + limits.watch_time - FromSeconds(Seconds(limits.watch_spread) * random_share()), r);
         }
         notified[r] = true;
         ASSERT_LE(now, ListCalls::kTold) << routers << " routers, seed " << seed;
