--- a/src/main.cpp
+++ b/src/main.cpp
@@ -61,7 +61,7 @@
   ConnBudget budget;
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
-  DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
+  DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
                        beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
   ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
@@ -114,7 +114,7 @@
     try {
       const Config reloaded = ReloadConfig();
       LogLine(Level::kInfo) << "configuration reloaded; discovery at " << reloaded.discovery;
-      watch.MoveTo(reloaded.discovery);
+      watch.SwitchTo(reloaded.discovery);
     } catch (const std::exception& e) {
       LogLine(Level::kError) << "configuration kept as it was: " << e.what();
     }
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-DiscoveryWatch::Call::Call(DiscoveryWatch& owner, const OpenCall& action, Time now)
+DiscoveryClient::Call::Call(DiscoveryClient& owner, const OpenCall& action, Time now)
     : watch(&owner),
       id(action.id),
       answer(owner.limits_.max_list, owner.limits_),
@@ -53,7 +53,7 @@
   origin.requested_at = now;
 }
 
-DiscoveryWatch::DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits,
+DiscoveryClient::DiscoveryClient(Loop& loop, Engine& engine, const Limits& limits,
                                const ParsedSettings& settings, std::string address, std::int64_t known,
                                double phase)
     : loop_(loop),
@@ -67,20 +67,20 @@
                  VersionHeld(known), static_cast<std::uint64_t>(phase * 1e9)) {}
 
 // Like all calls of the engine to its back ends, these must not call the engine back before they return.
-void DiscoveryWatch::SetWatching(bool on) {
+void DiscoveryClient::SetWatching(bool on) {
   if (!on) return;
   ListActions actions;
   refresher_.Follow(loop_.Now(), actions);
   ExecuteActions(actions);
 }
 
-void DiscoveryWatch::RequestWholeList() {
+void DiscoveryClient::RequestWholeList() {
   ListActions actions;
   refresher_.RequestWholeList(loop_.Now(), actions);
   ExecuteActions(actions);
 }
 
-void DiscoveryWatch::MoveTo(const std::string& address) {
+void DiscoveryClient::SwitchTo(const std::string& address) {
   const auto known = std::find_if(addresses_.begin(), addresses_.end(),
                                   [&](const auto& source) { return source.second == address; });
   const SourceId source = known == addresses_.end() ? ++last_source_ : known->first;
@@ -97,7 +97,7 @@
 
 // ---- Actions ----
 
-void DiscoveryWatch::ExecuteActions(ListActions actions) {
+void DiscoveryClient::ExecuteActions(ListActions actions) {
   while (!actions.empty()) {
     for (const ListAction& action : std::exchange(actions, {})) {
       std::visit([this](const auto& a) { Execute(a); }, action);
@@ -111,7 +111,7 @@
   SetTimer();
 }
 
-void DiscoveryWatch::Execute(const OpenCall& action) {
+void DiscoveryClient::Execute(const OpenCall& action) {
   auto call = std::make_unique<Call>(*this, action, loop_.Now());
   if (action.reuse != 0 && action.reuse == reusable_call_ && reusable_) {
     call->buffer = std::move(reusable_);
@@ -134,7 +134,7 @@
   calls_[action.id] = std::move(call);
 }
 
-void DiscoveryWatch::Execute(const CloseCall& action) {
+void DiscoveryClient::Execute(const CloseCall& action) {
   ++counters_.ended[static_cast<std::size_t>(action.reason)];
   const auto call = calls_.find(action.id);
   if (call == calls_.end()) return;
@@ -147,7 +147,7 @@
   }
 }
 
-void DiscoveryWatch::Execute(const StateChanged& action) {
+void DiscoveryClient::Execute(const StateChanged& action) {
   const auto age = ListAge();
   LogLine line(Level::kInfo);
   line << "discovery: list " << kListStateNames[static_cast<std::size_t>(action.from)] << " -> "
@@ -155,7 +155,7 @@
   if (age) line << ", age " << AgeInMs(age) << " ms";
 }
 
-void DiscoveryWatch::SetTimer() {
+void DiscoveryClient::SetTimer() {
   loop_.deadlines().Cancel(deadline_);
   const Time next = refresher_.Next();
   if (next == Time::max()) return;
@@ -170,7 +170,7 @@
 // ---- Connections ----
 
 // Returns false if no connection can be attempted now (no descriptor, no route).
-bool DiscoveryWatch::Connect(Call& call) {
+bool DiscoveryClient::Connect(Call& call) {
   const auto to = ParseAddress(addresses_.at(call.origin.source));
   call.buffer.reset(
       bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
@@ -187,7 +187,7 @@
   return true;
 }
 
-void DiscoveryWatch::SetCallbacks(Call& call) {
+void DiscoveryClient::SetCallbacks(Call& call) {
   bufferevent_setcb(
       call.buffer.get(),
       [](bufferevent*, void* at) {
@@ -202,7 +202,7 @@
       &call);
 }
 
-void DiscoveryWatch::OnRead(CallId id) {
+void DiscoveryClient::OnRead(CallId id) {
   Call& call = *calls_.at(id);
   // A deferred callback of the previous call on the same connection finds no input.
   if (evbuffer_get_length(bufferevent_get_input(call.buffer.get())) == 0) return;
@@ -212,7 +212,7 @@
   SetTimer();
 }
 
-void DiscoveryWatch::OnEvent(CallId id, short what) {
+void DiscoveryClient::OnEvent(CallId id, short what) {
   if (what & BEV_EVENT_CONNECTED) {
     refresher_.Connected(loop_.Now(), id);
     calls_.at(id)->connected = true;
@@ -227,7 +227,7 @@
 // ---- Answers ----
 
 // kMore: the answer is not complete yet. Otherwise the call has ended, successfully or not.
-Parsed DiscoveryWatch::HandleAnswer(Call& call, InputEnd input) {
+Parsed DiscoveryClient::HandleAnswer(Call& call, InputEnd input) {
   evbuffer* const in = bufferevent_get_input(call.buffer.get());
   Parsed got = call.answer.Feed(Gathered(call.buffer.get()));
   evbuffer_drain(in, evbuffer_get_length(in));
@@ -247,7 +247,7 @@
 // The source and the times of the data just received for this call. The whole answer may have been written
 // when its first byte was, so that time counts. If the answer may have been written long before it arrived,
 // it is dated back by half the drain's grace period, so that a drain in it has no grace left.
-ListOrigin DiscoveryWatch::CurrentOrigin(const Call& call) const {
+ListOrigin DiscoveryClient::CurrentOrigin(const Call& call) const {
   ListOrigin origin = call.origin;
   origin.received_at = loop_.EarliestArrival();
   origin.notified_at = refresher_.AnswerIsFresh(call.id) ? std::min(origin.received_at, call.first_byte_at)
@@ -257,7 +257,7 @@
 
 // Applies the entries received so far. Guards against a drain that is applied late because the rest of its
 // answer arrives slowly.
-void DiscoveryWatch::HandleEntries(Call& call) {
+void DiscoveryClient::HandleEntries(Call& call) {
   if (call.answer.answer().status != 200) return;
   call.list.Feed(call.answer.answer().body);
   const auto part = call.list.TakeCompletedEntries();
@@ -266,7 +266,7 @@
   engine_.PartialListReceived(*part, CurrentOrigin(call));
 }
 
-void DiscoveryWatch::HandleList(Call& call, bool keep) {
+void DiscoveryClient::HandleList(Call& call, bool keep) {
   const CallId id = call.id;
   const HttpAnswer answer = call.answer.TakeAnswer();
   if (answer.status != 200) return Fail(id, CallEndReason::kRefused, "status " + std::to_string(answer.status));
@@ -299,7 +299,7 @@
   engine_.ListReceived(*list, origin);
 }
 
-void DiscoveryWatch::Fail(CallId id, CallEndReason why, const std::string& detail) {
+void DiscoveryClient::Fail(CallId id, CallEndReason why, const std::string& detail) {
   const SourceId source = calls_.at(id)->origin.source;
   ++counters_.ended[static_cast<std::size_t>(why)];
   calls_.erase(id);
@@ -310,7 +310,7 @@
   ExecuteActions(actions);
 }
 
-void DiscoveryWatch::LogFailure(CallId id, SourceId source, const std::string& reason) {
+void DiscoveryClient::LogFailure(CallId id, SourceId source, const std::string& reason) {
   counters_.max_consecutive_failures =
       std::max(counters_.max_consecutive_failures, ++counters_.consecutive_failures);
   const auto age = ListAge();
@@ -320,7 +320,7 @@
                         << " ms, other calls out: " << calls_.size();
 }
 
-std::ostream& operator<<(std::ostream& out, const DiscoveryWatch& watch) {
+std::ostream& operator<<(std::ostream& out, const DiscoveryClient& watch) {
   const DiscoveryCounters& c = watch.counters();
   out << "discovery: state=" << kListStateNames[static_cast<std::size_t>(watch.state())]
       << " list_age_ms=" << AgeInMs(watch.ListAge()) << " calls=" << c.calls
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -32,12 +32,12 @@
   std::array<std::uint64_t, static_cast<std::size_t>(CallEndReason::kCount)> ended{};
 };
 
-class DiscoveryWatch : public DiscoverySource {
+class DiscoveryClient : public DiscoverySource {
  public:
   // `known`: the version of the list held at the start; negative if there is none. `phase`: from 0 to 1,
   // different for each router, so that the watches of a fleet that become unresponsive or break at the same
   // time are not reopened at the same time.
-  DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits, const ParsedSettings& settings,
+  DiscoveryClient(Loop& loop, Engine& engine, const Limits& limits, const ParsedSettings& settings,
                  std::string address, std::int64_t known, double phase = 0);
 
   // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
@@ -50,7 +50,7 @@
 
   // Moves to the discovery at this address, where the whole list is requested first. Until that list
   // arrives, answers of the old address still count.
-  void MoveTo(const std::string& address);
+  void SwitchTo(const std::string& address);
 
   const DiscoveryCounters& counters() const { return counters_; }
   ListState state() const { return refresher_.state(); }
@@ -59,8 +59,8 @@
 
  private:
   struct Call {
-    Call(DiscoveryWatch& owner, const OpenCall& action, Time now);
-    DiscoveryWatch* watch = nullptr;
+    Call(DiscoveryClient& owner, const OpenCall& action, Time now);
+    DiscoveryClient* watch = nullptr;
     CallId id = 0;
     ListOrigin origin;  // of the lists that it receives; its times are filled in as they arrive
     bool connected = false;
@@ -107,7 +107,7 @@
 };
 
 // Prints one line of counters: the state and age of the list, and the calls by how they ended.
-std::ostream& operator<<(std::ostream& out, const DiscoveryWatch& watch);
+std::ostream& operator<<(std::ostream& out, const DiscoveryClient& watch);
 
 }  // namespace brasswood
 
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -60,7 +60,7 @@
     ConnBudget budget;
     CacheServerPool servers(loop, engine, limits, counters, budget);
     OriginClient origin(loop, engine, limits, counters, budget);
-    DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.version);
+    DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version);
     engine.Attach(servers, origin, watch);
     engine.SetInitialList(config.known);
     ClientFront front(loop, engine, limits, config.settings.names, counters, config.listen);
