--- a/src/main.cpp
+++ b/src/main.cpp
@@ -121,9 +121,9 @@
   });
   ClientFront front(loop, engine, limits, names, counters, config.listen);
   front_pointer = &front;
-  std::unique_ptr<Door> admin_server;
+  std::unique_ptr<AdminServer> admin_server;
   if (!config.admin.empty()) {
-    admin_server = std::make_unique<Door>(loop, limits, config.admin, operations);
+    admin_server = std::make_unique<AdminServer>(loop, limits, config.admin, operations);
     operations.StartPolling();
     LogLine(Level::kInfo) << "operators' door on " << config.admin.substr(0, config.admin.rfind(':') + 1)
                           << admin_server->port();
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -13,14 +13,14 @@
 
 namespace brasswood {
 
-Door::Door(Loop& loop, const Limits& limits, const std::string& address, Operations& router)
+AdminServer::AdminServer(Loop& loop, const Limits& limits, const std::string& address, Operations& router)
     : loop_(loop), limits_(limits), router_(router), listener_(nullptr, evconnlistener_free) {
   const auto at = ParseAddress(address);
   if (!at) throw std::runtime_error("not an address for the admin interface: " + address);
   listener_.reset(evconnlistener_new_bind(
       loop_.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        static_cast<Door*>(self)->Accept(fd);
+        static_cast<AdminServer*>(self)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 64,
       reinterpret_cast<const sockaddr*>(&*at), sizeof *at));
@@ -30,18 +30,18 @@
   });
 }
 
-Door::~Door() {
+AdminServer::~AdminServer() {
   callers_.Each([&](std::uint64_t, auto& caller) { loop_.deadlines().Cancel(caller->deadline); });
 }
 
-std::uint16_t Door::port() const {
+std::uint16_t AdminServer::port() const {
   sockaddr_in at{};
   socklen_t size = sizeof at;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
   return ntohs(at.sin_port);
 }
 
-void Door::Accept(evutil_socket_t fd) {
+void AdminServer::Accept(evutil_socket_t fd) {
   // Guards against many silent callers that lock out one that sends a request: the oldest connection is
   // closed, and a complete request is answered long before its connection is the oldest.
   if (callers_.size() >= limits_.max_admin_connections && !order_.empty()) Close(order_.front());
@@ -70,15 +70,15 @@
       loop_.deadlines().Set(loop_.Now() + limits_.admin_call_timeout, [this, id = caller.id] { OnTimeout(id); });
 }
 
-void Door::OnRead(Caller& caller) {
+void AdminServer::OnRead(Caller& caller) {
   evbuffer* in = bufferevent_get_input(caller.buffer.get());
   if (caller.answered) {
     evbuffer_drain(in, evbuffer_get_length(in));
     return;
   }
   std::size_t used = 0;
-  DoorCall call;
-  switch (ParseDoorCall(Gathered(caller.buffer.get()), bounds_, used, call)) {
+  AdminRequest call;
+  switch (ParseAdminRequest(Gathered(caller.buffer.get()), bounds_, used, call)) {
     case Parsed::kMore:
       return;
     case Parsed::kBad:
@@ -103,7 +103,7 @@
   });
 }
 
-void Door::Respond(Caller& caller, int status, const std::string& body, const std::string& type) {
+void AdminServer::Respond(Caller& caller, int status, const std::string& body, const std::string& type) {
   caller.answered = true;
   const std::string text = FormatAdminAnswer(status, body, type);
   bufferevent_write(caller.buffer.get(), text.data(), text.size());
@@ -114,12 +114,12 @@
       loop_.deadlines().Set(loop_.Now() + limits_.admin_close_timeout, [this, id = caller.id] { Close(id); });
 }
 
-void Door::OnWritten(Caller& caller) {
+void AdminServer::OnWritten(Caller& caller) {
   if (!caller.answered) return;
   ::shutdown(bufferevent_getfd(caller.buffer.get()), SHUT_WR);
 }
 
-void Door::OnTimeout(std::uint64_t id) {
+void AdminServer::OnTimeout(std::uint64_t id) {
   auto* found = callers_.Find(id);
   if (found == nullptr) return;
   Caller& caller = **found;
@@ -127,7 +127,7 @@
   Respond(caller, 400, "call not whole in time\n", "text/plain");
 }
 
-void Door::Close(std::uint64_t id) {
+void AdminServer::Close(std::uint64_t id) {
   auto* found = callers_.Find(id);
   if (found == nullptr) return;
   const std::unique_ptr<Caller> caller = std::move(*found);
--- a/src/net/door.h
+++ b/src/net/door.h
@@ -21,18 +21,18 @@
 
 namespace brasswood {
 
-class Door {
+class AdminServer {
  public:
   // Starts to listen on `address`; throws if that fails. `router` must outlive this object.
-  Door(Loop& loop, const Limits& limits, const std::string& address, Operations& router);
-  ~Door();
+  AdminServer(Loop& loop, const Limits& limits, const std::string& address, Operations& router);
+  ~AdminServer();
 
   std::uint16_t port() const;
   std::size_t open() const { return callers_.size(); }
 
  private:
   struct Caller {
-    Door* door = nullptr;
+    AdminServer* door = nullptr;
     std::uint64_t id = 0;
     BufferPtr buffer;
     bool answered = false;  // its answer is decided on; further input is read and discarded
--- a/src/protocol/door.cpp
+++ b/src/protocol/door.cpp
@@ -14,7 +14,7 @@
   });
 }
 
-Parsed Bad(DoorCall& call, int status, const char* error) {
+Parsed Bad(AdminRequest& call, int status, const char* error) {
   call.status = status;
   call.error = error;
   return Parsed::kBad;
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
-                     DoorCall& call) {
+Parsed ParseAdminRequest(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
+                     AdminRequest& call) {
   call = {};
   // Accepts callers that send empty lines first, which RFC 9112 allows a server to skip.
   std::size_t start = 0;
--- a/src/protocol/door.h
+++ b/src/protocol/door.h
@@ -11,7 +11,7 @@
 
 namespace brasswood {
 
-struct DoorCall {
+struct AdminRequest {
   std::string method;  // as sent: methods are case-sensitive
   std::string path;    // the target without its query
   int status = 0;      // of a kBad request: the status to answer with (400, 413, 431, 501, 505)
@@ -26,8 +26,8 @@
 
 // Parses one request at the front of `in`. kMore: not complete yet (the caller limits the wait). kBad:
 // `call.status` and `call.error` hold the answer to send. `used`: the size of the request with its body.
-Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
-                     DoorCall& call);
+Parsed ParseAdminRequest(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
+                     AdminRequest& call);
 
 // Formats a complete answer after which the connection is closed: status line, header fields and body.
 std::string FormatAdminAnswer(int status, std::string_view body, std::string_view type = "text/plain");
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -27,17 +27,17 @@
       "POST /v1/cache-servers/s-1/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
   for (std::size_t cut = 0; cut < call.size(); ++cut) {
     std::size_t used = 0;
-    DoorCall got;
+    AdminRequest got;
     INFO("cut at " << cut);
-    CHECK(ParseDoorCall(std::string_view(call).substr(0, cut), {}, used, got) == Parsed::kMore);
+    CHECK(ParseAdminRequest(std::string_view(call).substr(0, cut), {}, used, got) == Parsed::kMore);
   }
   std::size_t used = 0;
-  DoorCall got;
-  REQUIRE(ParseDoorCall(call, {}, used, got) == Parsed::kDone);
+  AdminRequest got;
+  REQUIRE(ParseAdminRequest(call, {}, used, got) == Parsed::kDone);
   CHECK(used == call.size());
   CHECK(got.method == "POST");
   CHECK(got.path == "/v1/cache-servers/s-1/suspend");
-  REQUIRE(ParseDoorCall("GET /v1/metrics?x=1 HTTP/1.0\r\n\r\n", {}, used, got) == Parsed::kDone);
+  REQUIRE(ParseAdminRequest("GET /v1/metrics?x=1 HTTP/1.0\r\n\r\n", {}, used, got) == Parsed::kDone);
   CHECK(got.path == "/v1/metrics");
 }
 
@@ -58,9 +58,9 @@
   };
   for (const auto& c : cases) {
     std::size_t used = 0;
-    DoorCall got;
+    AdminRequest got;
     INFO(c.text.substr(0, 60));
-    REQUIRE(ParseDoorCall(c.text, {}, used, got) == Parsed::kBad);
+    REQUIRE(ParseAdminRequest(c.text, {}, used, got) == Parsed::kBad);
     CHECK(got.status == c.status);
     CHECK_FALSE(got.error.empty());
   }
