--- a/src/main.cpp
+++ b/src/main.cpp
@@ -64,15 +64,15 @@
   DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
                        beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
-  ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
+  ClientFrontEnd* front_pointer = nullptr;  // the front is created last, as it starts listening at once
   ClientFrontHooks hooks{[&front_pointer] { return front_pointer != nullptr && front_pointer->Ready(); },
                          [&front_pointer](bool on) {
-                           if (front_pointer != nullptr) front_pointer->SendAway(on);
+                           if (front_pointer != nullptr) front_pointer->SetDraining(on);
                          },
                          [&](std::size_t processes) {
                            limits = LimitsPerProcess(full_limits, processes);
                            cache_servers.Trim();
-                           if (front_pointer != nullptr) front_pointer->Reshare();
+                           if (front_pointer != nullptr) front_pointer->ApplyLimits();
                          }};
   // Operator state is stored only if there is an admin interface to change it. Older deployments have
   // neither.
@@ -119,7 +119,7 @@
       LogLine(Level::kError) << "configuration kept as it was: " << e.what();
     }
   });
-  ClientFront front(loop, engine, limits, names, counters, config.listen);
+  ClientFrontEnd front(loop, engine, limits, names, counters, config.listen);
   front_pointer = &front;
   std::unique_ptr<AdminServer> admin_server;
   if (!config.admin.empty()) {
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -13,7 +13,7 @@
 // Sets the timeout of a client. Guards against clients that occupy a place in the table without sending a
 // complete command: a command must be complete within Limits::speak after the connection was accepted or
 // after the command's first byte, and an idle connection is closed after Limits::rest.
-void ClientFront::SetTimeout(Client& client) {
+void ClientFrontEnd::SetTimeout(Client& client) {
   loop_.deadlines().Cancel(client.deadline);
   // A client that waits for an answer, or is still receiving one, has no timeout here.
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
@@ -30,7 +30,7 @@
 // it cannot send another command. So only part of the table may be idle; beyond it the longest idle client
 // is closed, soon after its answer. Clients that have sent a command after being idle reuse their
 // connections: they have a larger part, because otherwise every third of their connections would be closed.
-void ClientFront::EnterIdleQueue(Client& client) {
+void ClientFrontEnd::EnterIdleQueue(Client& client) {
   if (client.idle_queue != nullptr) return;
   client.idle_queue = client.reused ? &idle_reused_ : &idle_used_once_;
   client.idle_since = loop_.Now();
@@ -40,12 +40,12 @@
     EvictIdle(*client.idle_queue);
 }
 
-void ClientFront::LeaveIdleQueue(Client& client) {
+void ClientFrontEnd::LeaveIdleQueue(Client& client) {
   if (client.idle_queue != nullptr) client.idle_queue->ids.erase(client.idle_position);
   client.idle_queue = nullptr;
 }
 
-void ClientFront::EvictIdle(IdleQueue& queue) {
+void ClientFrontEnd::EvictIdle(IdleQueue& queue) {
   queue.eviction = {};
   while (queue.ids.size() > queue.max_size) {
     Client& client = **clients_.Find(queue.ids.front());
@@ -64,7 +64,7 @@
   }
 }
 
-void ClientFront::OnTimeout(std::uint64_t id) {
+void ClientFrontEnd::OnTimeout(std::uint64_t id) {
   Client& client = **clients_.Find(id);
   client.deadline = {};
   // If the loop runs late, this deadline may be due before data that arrived in time was read.
@@ -84,13 +84,13 @@
 
 // Closes an idle connection gracefully. Guards against a command that crosses the close: closing at once
 // would answer it with a reset, and answers that the client has not received yet would be lost.
-void ClientFront::CloseGracefully(Client& client, ClientEndReason why) {
+void ClientFrontEnd::CloseGracefully(Client& client, ClientEndReason why) {
   MarkClosing(client, why);
   LingeringClose(client);
 }
 
 // Marks the client as closing. Only the first reason counts.
-void ClientFront::MarkClosing(Client& client, ClientEndReason why) {
+void ClientFrontEnd::MarkClosing(Client& client, ClientEndReason why) {
   if (client.closing) return;
   client.closing = true;
   client.close_reason = why;
@@ -100,7 +100,7 @@
 // closing a socket with unread input sends a reset, which can destroy an answer in transit. So further
 // input is read and discarded, the answers are sent, the sending side is shut, and the socket is closed
 // when the client closes, or after Limits::hang_up.
-void ClientFront::LingeringClose(Client& client) {
+void ClientFrontEnd::LingeringClose(Client& client) {
   if (!client.discard) {
     LeaveIdleQueue(client);
     bufferevent_disable(client.buffer.get(), EV_READ);
@@ -123,7 +123,7 @@
 }
 
 // MSG_TRUNC lets the kernel discard the bytes without copying them: tens of megabytes may arrive.
-void ClientFront::DiscardInput(Client& client) {
+void ClientFrontEnd::DiscardInput(Client& client) {
   constexpr std::size_t kMaxBytesPerCall = 1 << 20;
   const ssize_t n =
       ::recv(bufferevent_getfd(client.buffer.get()), nullptr, kMaxBytesPerCall, MSG_TRUNC | MSG_DONTWAIT);
@@ -138,7 +138,7 @@
 
 // Closes and removes a client; every client ends here. `why` is the reason, unless its sending side
 // had already been shut for another one.
-void ClientFront::Close(std::uint64_t id, ClientEndReason why) {
+void ClientFrontEnd::Close(std::uint64_t id, ClientEndReason why) {
   auto* found = clients_.Find(id);
   if (found == nullptr) return;
   const std::unique_ptr<Client> client = std::move(*found);
@@ -162,7 +162,7 @@
 }
 
 // Cancels everything that is pending for a client that can receive no more answers.
-void ClientFront::CancelPending(Client& client) {
+void ClientFrontEnd::CancelPending(Client& client) {
   const std::deque<Pending> pending = std::exchange(client.pending, {});
   client.first_number += pending.size();
   client.held_bytes = 0;
@@ -172,21 +172,21 @@
   }
 }
 
-void ClientFront::Reshare() {
+void ClientFrontEnd::ApplyLimits() {
   idle_used_once_.max_size = limits_.max_idle_clients;
   idle_reused_.max_size = limits_.max_idle_reused_clients;
   if (idle_used_once_.eviction == Deadlines::Id()) EvictIdle(idle_used_once_);
   if (idle_reused_.eviction == Deadlines::Id()) EvictIdle(idle_reused_);
 }
 
-void ClientFront::SendAway(bool on) {
+void ClientFrontEnd::SetDraining(bool on) {
   if (draining_ == on) return;
   draining_ = on;
   if (on) AdvanceAll();
 }
 
 // The ids are copied first, because Advance may remove clients from the table.
-void ClientFront::AdvanceAll() {
+void ClientFrontEnd::AdvanceAll() {
   std::vector<std::uint64_t> all;
   clients_.Each([&](std::uint64_t id, auto&) { all.push_back(id); });
   for (const std::uint64_t id : all) Advance(id);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-ClientFront::ClientFront(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
+ClientFrontEnd::ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
                          Counters& counters, const std::string& address)
     : loop_(loop),
       engine_(engine),
@@ -40,7 +40,7 @@
   listener_.reset(evconnlistener_new_bind(
       loop_.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        static_cast<ClientFront*>(self)->Accept(fd);
+        static_cast<ClientFrontEnd*>(self)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT | LEV_OPT_CLOSE_ON_EXEC,
       1024, reinterpret_cast<const sockaddr*>(&*at), sizeof *at));
@@ -48,20 +48,20 @@
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* self) {
     // Out of descriptors: the connection stays in the accept queue, and the listener stays readable.
     LogLine(Level::kWarn) << "cannot accept: " << std::strerror(EVUTIL_SOCKET_ERROR());
-    static_cast<ClientFront*>(self)->OnAcceptFailed();
+    static_cast<ClientFrontEnd*>(self)->OnAcceptFailed();
   });
 }
 
-ClientFront::~ClientFront() = default;
+ClientFrontEnd::~ClientFrontEnd() = default;
 
-std::uint16_t ClientFront::port() const {
+std::uint16_t ClientFrontEnd::port() const {
   sockaddr_in at{};
   socklen_t size = sizeof at;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
   return ntohs(at.sin_port);
 }
 
-void ClientFront::ResumeAccepting() {
+void ClientFrontEnd::ResumeAccepting() {
   if (listening_ || listener_closed_) return;
   listening_ = true;
   evconnlistener_enable(listener_.get());
@@ -76,7 +76,7 @@
 // answer; 1, those that connected and sent nothing; 2, those that were served and are idle; 3, those that
 // are slow to complete a command. -1: never evicted, because it waits for an answer, or has just connected
 // or begun a command and is about to send the rest.
-int ClientFront::EvictionRank(const Client& client, Time now) const {
+int ClientFrontEnd::EvictionRank(const Client& client, Time now) const {
   if (client.write_shut) return 0;
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return -1;
@@ -91,7 +91,7 @@
 // moment, its client sends it again. A client is not evicted if unread input has arrived, or if its kernel
 // has not acknowledged its last answer: a command that crosses the close would cause a reset, and the
 // answer would be lost.
-void ClientFront::EvictIfFull() {
+void ClientFrontEnd::EvictIfFull() {
   if (clients_.size() < limits_.max_clients) return;
   const Time now = loop_.Now();
   std::uint64_t chosen = 0;
@@ -111,7 +111,7 @@
 
 // Guards against requests that wait in the accept queue although a shortage has passed: after one failure
 // accepting is retried after a millisecond, and only consecutive failures lead to longer pauses.
-void ClientFront::OnAcceptFailed() {
+void ClientFrontEnd::OnAcceptFailed() {
   Duration pause = kMinPause;
   for (int i = 0; i < accept_failures_ && pause < kFullPause; ++i) pause *= 2;
   ++accept_failures_;
@@ -120,7 +120,7 @@
 
 // Accepts no connections for the time of `pause`. Otherwise a loop that cannot accept would busy-loop on
 // the readable listener.
-void ClientFront::PauseAccepting(Duration pause) {
+void ClientFrontEnd::PauseAccepting(Duration pause) {
   if (!listening_) return;
   listening_ = false;
   loop_.deadlines().Cancel(accept_queue_drained_);
@@ -129,12 +129,12 @@
   loop_.deadlines().Set(loop_.Now() + pause, [this] { ResumeAccepting(); });
 }
 
-bool ClientFront::IsIdle(const Client& client) {
+bool ClientFrontEnd::IsIdle(const Client& client) {
   return client.pending.empty() && evbuffer_get_length(bufferevent_get_output(client.buffer.get())) == 0 &&
          (client.closing || evbuffer_get_length(bufferevent_get_input(client.buffer.get())) == 0);
 }
 
-void ClientFront::Accept(evutil_socket_t fd) {
+void ClientFrontEnd::Accept(evutil_socket_t fd) {
   loop_.RecordPollReturn();
   accept_failures_ = 0;
   const int on = 1;
@@ -184,13 +184,13 @@
 
 // Whether no more commands of this client are read for now: too many are unanswered, or too many answer
 // bytes are unsent.
-bool ClientFront::IsFull(const Client& client) const {
+bool ClientFrontEnd::IsFull(const Client& client) const {
   return client.pending.size() >= limits_.max_pipeline ||
          client.held_bytes + evbuffer_get_length(bufferevent_get_output(client.buffer.get())) >=
              limits_.max_unsent;
 }
 
-void ClientFront::ReadCommands(Client& client) {
+void ClientFrontEnd::ReadCommands(Client& client) {
   const std::uint64_t id = client.id;
   // Guards against work for a client that has already closed: its remaining commands are not read, however
   // many there are.
@@ -251,7 +251,7 @@
 // has given up, because its command waited in the accept queue of a paused listener or while the process
 // was stopped. The times of the loop's polls bound the arrival; where they cannot, the kernel's time of the
 // last received byte does. Time spent waiting for earlier answers of the same connection does not count.
-Time ClientFront::ArrivalTime(const Client& client) {
+Time ClientFrontEnd::ArrivalTime(const Client& client) {
   const Time now = loop_.Now();
   const bool queued = client.queued_since != Time(0);
   const auto unread = TimeSinceLastByte(bufferevent_getfd(client.buffer.get()));
@@ -261,7 +261,7 @@
   return std::min(arrived, now - std::min(*unread, limits_.max_assumed_stall));
 }
 
-void ClientFront::StartRequest(Client& client, RequestContent content) {
+void ClientFrontEnd::StartRequest(Client& client, RequestContent content) {
   NewRequest request;
   std::string error = BuildRequest(std::move(content), names_, limits_, request);
   request.arrived = ArrivalTime(client);
@@ -288,7 +288,7 @@
 
 // Refuses a request read after the last moment for new work. Guards against starting work in a process that
 // is about to be killed.
-void ClientFront::RefuseRequest(Client& client, const std::string& request) {
+void ClientFrontEnd::RefuseRequest(Client& client, const std::string& request) {
   ++counters_.refused_stopping;
   LogLine(Level::kDebug) << "request " << request << " refused: the router is shutting down";
   std::string text;
@@ -296,7 +296,7 @@
   Reply(client, std::move(text));
 }
 
-void ClientFront::Reply(Client& client, std::string text) {
+void ClientFrontEnd::Reply(Client& client, std::string text) {
   client.held_bytes += text.size();
   Pending pending;
   pending.answered = true;
@@ -305,7 +305,7 @@
   Flush(client);
 }
 
-ClientFront::Pending* ClientFront::FindPending(std::uint64_t ticket, Client*& client) {
+ClientFrontEnd::Pending* ClientFrontEnd::FindPending(std::uint64_t ticket, Client*& client) {
   const Ticket* to = tickets_.Find(ticket);
   if (to == nullptr) return nullptr;
   auto* found = clients_.Find(to->client);
@@ -316,7 +316,7 @@
   return &client->pending[to->number - client->first_number];
 }
 
-void ClientFront::Deliver(std::uint64_t ticket, const Answer& answer) {
+void ClientFrontEnd::Deliver(std::uint64_t ticket, const Answer& answer) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   tickets_.Remove(ticket);
@@ -337,7 +337,7 @@
   Flush(*client);
 }
 
-void ClientFront::StartStream(std::uint64_t ticket, std::size_t length) {
+void ClientFrontEnd::StartStream(std::uint64_t ticket, std::size_t length) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || pending->streaming || pending->answered) return;
@@ -352,7 +352,7 @@
   Flush(*client);
 }
 
-void ClientFront::SendChunk(std::uint64_t ticket, std::string_view bytes) {
+void ClientFrontEnd::SendChunk(std::uint64_t ticket, std::string_view bytes) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || !pending->streaming || pending->answered) return;
@@ -361,13 +361,13 @@
   Flush(*client);
 }
 
-bool ClientFront::IsConnected(std::uint64_t ticket) const {
+bool ClientFrontEnd::IsConnected(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   const auto* found = to == nullptr ? nullptr : clients_.Find(to->client);
   return found != nullptr && !PeerClosed(bufferevent_getfd((*found)->buffer.get()));
 }
 
-std::size_t ClientFront::BufferedBytes(std::uint64_t ticket) const {
+std::size_t ClientFrontEnd::BufferedBytes(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   if (to == nullptr) return 0;
   const auto* found = clients_.Find(to->client);
@@ -378,7 +378,7 @@
 // Sends the answers that are available, as far as the order of the commands allows. What follows from an
 // answer (reading further, closing) is scheduled as a separate call of Advance, because the engine may be
 // the caller here and must not be re-entered.
-void ClientFront::Flush(Client& client) {
+void ClientFrontEnd::Flush(Client& client) {
   while (!client.cut_off && !client.pending.empty() &&
          (client.pending.front().answered || client.pending.front().streaming)) {
     Pending& front = client.pending.front();
@@ -405,7 +405,7 @@
 // Checks at intervals whether a client that is not being read has closed its connection, which no event
 // would report. Guards against further work for it: its attempts are abandoned like those of any other
 // client that closes.
-void ClientFront::ScheduleCloseCheck(Client& client) {
+void ClientFrontEnd::ScheduleCloseCheck(Client& client) {
   loop_.deadlines().Cancel(client.close_check);
   client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.client_gone_check_interval, [this, id = client.id] {
     Client& at = **clients_.Find(id);
@@ -417,7 +417,7 @@
 
 // Continues with a client after its answers were sent or its state changed: resumes reading it, closes it
 // if that is due, or sets its timeout.
-void ClientFront::Advance(std::uint64_t id) {
+void ClientFrontEnd::Advance(std::uint64_t id) {
   auto* found = clients_.Find(id);
   if (found == nullptr) return;
   Client& client = **found;
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -20,12 +20,12 @@
 
 namespace brasswood {
 
-class ClientFront : public FrontEnd {
+class ClientFrontEnd : public FrontEnd {
  public:
   // Starts to listen on `address`; throws if that fails.
-  ClientFront(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names, Counters& counters,
+  ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names, Counters& counters,
               const std::string& address);
-  ~ClientFront() override;
+  ~ClientFrontEnd() override;
 
   void Deliver(std::uint64_t ticket, const Answer& answer) override;
   void StartStream(std::uint64_t ticket, std::size_t length) override;
@@ -41,7 +41,7 @@
   // Drains the router for operators: `mn` is answered as not ready, and each connection closes once it is
   // idle, with all answers sent and no further command received. New connections are still accepted and
   // served in the same way. `on` false ends the drain.
-  void SendAway(bool on);
+  void SetDraining(bool on);
   // Whether `mn` is answered as ready: not while draining. After SIGTERM it still is, for the half second
   // in which the listener stays open; load balancers notice the end of the process instead.
   bool ReportsReady() const { return !draining_ && engine_.ready(); }
@@ -49,7 +49,7 @@
   bool Ready() const { return ReportsReady() && !shutdown_.begun(); }
 
   // Applies changed limits (a replacement process shares them): closes idle connections beyond them.
-  void Reshare();
+  void ApplyLimits();
 
   std::size_t clients() const { return clients_.size(); }
   std::uint16_t port() const;  // the port it listens on
@@ -70,7 +70,7 @@
     std::string text;
   };
   struct Client {
-    ClientFront* front = nullptr;
+    ClientFrontEnd* front = nullptr;
     std::uint64_t id = 0;
     BufferPtr buffer;
     std::deque<Pending> pending;
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -10,7 +10,7 @@
 
 namespace brasswood {
 
-void ClientFront::Stop(std::function<void()> done) {
+void ClientFrontEnd::Stop(std::function<void()> done) {
   if (shutdown_.begun()) return;
   shutdown_.Begin(loop_.EarliestArrival());
   on_stopped_ = std::move(done);
@@ -23,7 +23,7 @@
 // clients see them as established. They are answered and then closed like the others. Returns false if some
 // may be left for lack of descriptors or memory. Other errors of accept(2) concern a single connection and
 // are skipped.
-bool ClientFront::AcceptQueued() {
+bool ClientFrontEnd::AcceptQueued() {
   constexpr int kMaxErrors = 64;
   const evutil_socket_t listening = evconnlistener_get_fd(listener_.get());
   for (int errors = 0; errors < kMaxErrors;) {
@@ -39,7 +39,7 @@
   return false;
 }
 
-void ClientFront::StopListening() {
+void ClientFrontEnd::StopListening() {
   if (listener_closed_) return;
   const bool queue_empty = AcceptQueued();
   if (!queue_empty && shutdown_.At(loop_.Now()) != Shutdown::Phase::kTimeUp) {
@@ -56,7 +56,7 @@
 
 // The time for the shutdown is up: open requests are failed, so that each one is answered, and the process
 // ends after Limits::last_words, whether or not the clients have received their answers.
-void ClientFront::ForceStop() {
+void ClientFrontEnd::ForceStop() {
   StopListening();
   const std::size_t failed = engine_.FailAll();
   counters_.failed_stopping += failed;
@@ -68,7 +68,7 @@
 // Checks repeatedly until two consecutive checks, 25 ms apart, find nothing open, and then ends the
 // shutdown: what was in transit when the listener closed is still read and answered, and the answers are
 // received (a client that receives nothing is closed after Limits::hang_up).
-void ClientFront::StopWhenDone(bool done_before) {
+void ClientFrontEnd::StopWhenDone(bool done_before) {
   const bool done = IsDone();
   if (done && done_before) return on_stopped_();
   constexpr std::chrono::milliseconds kCheckInterval(25);
@@ -77,7 +77,7 @@
 
 // Whether no request is open and every answer was received. A connection that has not sent a command yet is
 // waited for as at any other time (Limits::speak): a close that crosses its first command would lose it.
-bool ClientFront::IsDone() {
+bool ClientFrontEnd::IsDone() {
   bool done = engine_.open_requests() == 0;
   clients_.Each([&done](std::uint64_t, const auto& client) {
     done = done && client->write_shut && UnacknowledgedBytes(bufferevent_getfd(client->buffer.get())) == 0;
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -63,7 +63,7 @@
     DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version);
     engine.Attach(servers, origin, watch);
     engine.SetInitialList(config.known);
-    ClientFront front(loop, engine, limits, config.settings.names, counters, config.listen);
+    ClientFrontEnd front(loop, engine, limits, config.settings.names, counters, config.listen);
     const std::function<void()> poll_control = [&] {
       blocked_ = true;
       while (frozen_ && !stop_) std::this_thread::yield();
