--- a/src/main.cpp
+++ b/src/main.cpp
@@ -58,7 +58,7 @@
   Engine engine(
       config.settings.module, config.seed, limits, [&loop] { return loop.Now(); }, loop.deadlines(),
       counters);
-  ConnBudget budget;
+  ConnectionBudget budget;
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
   DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
@@ -71,7 +71,7 @@
                          },
                          [&](std::size_t processes) {
                            limits = LimitsPerProcess(full_limits, processes);
-                           cache_servers.Trim();
+                           cache_servers.CloseExcessIdle();
                            if (front_pointer != nullptr) front_pointer->ApplyLimits();
                          }};
   // Operator state is stored only if there is an admin interface to change it. Older deployments have
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -17,7 +17,7 @@
 using beechledge::Result;
 
 AttemptPool::AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters,
-                         ConnBudget& budget)
+                         ConnectionBudget& budget)
     : loop_(loop), engine_(engine), limits_(limits), counters_(counters), budget_(budget) {
   budget_.pools.push_back(this);
 }
@@ -415,7 +415,7 @@
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); });
 }
 
-void AttemptPool::Trim() {
+void AttemptPool::CloseExcessIdle() {
   while (budget_.open > limits_.max_server_connections &&
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); })) {
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -21,14 +21,14 @@
 class AttemptPool;
 
 // The number of connections to servers that are open, over all pools of the process.
-struct ConnBudget {
+struct ConnectionBudget {
   std::size_t open = 0;
   std::vector<AttemptPool*> pools;
 };
 
 class AttemptPool : public BackEnd {
  public:
-  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters, ConnBudget& budget);
+  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters, ConnectionBudget& budget);
   ~AttemptPool() override;
 
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request, Time until,
@@ -38,7 +38,7 @@
   void CloseIdle(ServerId server) override;
   void Forget(ServerId server) override;
   // Closes idle connections of all pools until the number of open ones is within a limit that was lowered.
-  void Trim();
+  void CloseExcessIdle();
 
  protected:
   struct Operation {  // the attempt or probe that a connection carries
@@ -114,7 +114,7 @@
   Engine& engine_;
   const Limits& limits_;
   Counters& counters_;
-  ConnBudget& budget_;
+  ConnectionBudget& budget_;
   std::list<Connection> connections_;
   std::unordered_map<AttemptId, ConnectionIt> busy_;
   std::unordered_map<ServerId, std::vector<ConnectionIt>> idle_;  // the most recently used one last
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -57,7 +57,7 @@
     Counters counters;
     Engine engine(
         config.settings.module, 1, limits, [&loop] { return loop.Now(); }, loop.deadlines(), counters);
-    ConnBudget budget;
+    ConnectionBudget budget;
     CacheServerPool servers(loop, engine, limits, counters, budget);
     OriginClient origin(loop, engine, limits, counters, budget);
     DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version);
