--- a/src/main.cpp
+++ b/src/main.cpp
@@ -151,19 +151,19 @@
 }
 
 // Guards against a start that fails because the system is short of something for a moment, such as
-// descriptors or memory. Such a start is retried for kStartPatience.
+// descriptors or memory. Such a start is retried for kStartRetryLimit.
 void RunWithStartRetries(const brasswood::Config& config, SignalBlock& signals) {
   using namespace brasswood;
-  const auto deadline = std::chrono::steady_clock::now() + kStartPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kStartRetryLimit;
   for (;;) {
     try {
-      ProbeDescriptors();
+      CheckDescriptorsAvailable();
       return Run(config, signals);
     } catch (const StartError& e) {
-      if (!e.passing() || std::chrono::steady_clock::now() >= deadline) throw;
+      if (!e.transient() || std::chrono::steady_clock::now() >= deadline) throw;
       LogLine(Level::kWarn) << "cannot start yet, retrying: " << e.what();
     }
-    std::this_thread::sleep_for(kStartPause);
+    std::this_thread::sleep_for(kStartRetryPause);
   }
 }
 
--- a/src/net/startup.cpp
+++ b/src/net/startup.cpp
@@ -33,7 +33,7 @@
 StartError::StartError(const std::string& what, int error)
     : std::runtime_error(what + ": " + std::strerror(error)), transient_(IsTransient(error)) {}
 
-void ProbeDescriptors() {
+void CheckDescriptorsAvailable() {
   std::array<int, kLoopDescriptors> probes{};
   std::size_t opened = 0;
   int error = 0;
--- a/src/net/startup.h
+++ b/src/net/startup.h
@@ -14,19 +14,19 @@
   // `what`: the action that failed; `error`: the errno of the system call.
   StartError(const std::string& what, int error);
   // Whether the same call may succeed a moment later.
-  bool passing() const { return transient_; }
+  bool transient() const { return transient_; }
 
  private:
   bool transient_;
 };
 
 // For how long a start that failed for a transient reason is retried, and the pause between two tries.
-inline constexpr std::chrono::seconds kStartPatience{8};
-inline constexpr std::chrono::milliseconds kStartPause{50};
+inline constexpr std::chrono::seconds kStartRetryLimit{8};
+inline constexpr std::chrono::milliseconds kStartRetryPause{50};
 
 // Throws StartError if the descriptors that an event loop needs are not available. libevent aborts the
 // process when it cannot open one of them, so they are tried out beforehand.
-void ProbeDescriptors();
+void CheckDescriptorsAvailable();
 
 }  // namespace brasswood
 
