--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -48,7 +48,7 @@
   while (FindPeer(id) != nullptr) {
     std::size_t used = 0;
     Command command;
-    const Parsed got = ParseCommand(Gathered(peer.buffer.get()), kLimits, used, command);
+    const Parsed got = ParseCommand(ContiguousInput(peer.buffer.get()), kLimits, used, command);
     if (got == Parsed::kMore) return;
     if (got == Parsed::kBad) return Close(peer, false);
     evbuffer_drain(bufferevent_get_input(peer.buffer.get()), used);
--- a/lab/world/server.cpp
+++ b/lab/world/server.cpp
@@ -266,7 +266,7 @@
   Peer* peer = FindPeer(id);
   if (peer == nullptr) return false;
   std::size_t used = 0;
-  const Parsed got = ParseHttpRequest(Gathered(peer->buffer.get()), used, request);
+  const Parsed got = ParseHttpRequest(ContiguousInput(peer->buffer.get()), used, request);
   if (got == Parsed::kBad) Close(*peer, false);
   if (got != Parsed::kDone) return false;
   evbuffer_drain(bufferevent_get_input(peer->buffer.get()), used);
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -228,7 +228,7 @@
   std::size_t used = 0;
   AttemptResult end;
   bool keep = true;
-  const Parsed got = Parse(Gathered(connection.buffer.get()), connection.operation, input, used, end, keep);
+  const Parsed got = Parse(ContiguousInput(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
   loop_.deadlines().Cancel(connection.deadline);
   evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -203,7 +203,7 @@
     }
     std::size_t used = 0;
     Command command;
-    const Parsed got = ParseCommand(Gathered(client.buffer.get()), limits_, used, command);
+    const Parsed got = ParseCommand(ContiguousInput(client.buffer.get()), limits_, used, command);
     if (got == Parsed::kMore) {
       const bool begun = evbuffer_get_length(bufferevent_get_input(client.buffer.get())) != 0;
       client.queued_since = Time(0);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -229,7 +229,7 @@
 // kMore: the answer is not complete yet. Otherwise the call has ended, successfully or not.
 Parsed DiscoveryClient::HandleAnswer(Call& call, InputEnd input) {
   evbuffer* const in = bufferevent_get_input(call.buffer.get());
-  Parsed got = call.answer.Feed(Gathered(call.buffer.get()));
+  Parsed got = call.answer.Feed(ContiguousInput(call.buffer.get()));
   evbuffer_drain(in, evbuffer_get_length(in));
   if (got == Parsed::kMore && input == InputEnd::kClosed) got = call.answer.End();
   if (got == Parsed::kMore) {
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -78,7 +78,7 @@
   }
   std::size_t used = 0;
   AdminRequest call;
-  switch (ParseAdminRequest(Gathered(caller.buffer.get()), bounds_, used, call)) {
+  switch (ParseAdminRequest(ContiguousInput(caller.buffer.get()), bounds_, used, call)) {
     case Parsed::kMore:
       return;
     case Parsed::kBad:
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -135,7 +135,7 @@
 }
 
 // Everything in a bufferevent's input buffer, as one contiguous piece.
-inline std::string_view Gathered(bufferevent* b) {
+inline std::string_view ContiguousInput(bufferevent* b) {
   evbuffer* in = bufferevent_get_input(b);
   const std::size_t n = evbuffer_get_length(in);
   if (n == 0) return {};
