--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -233,7 +233,7 @@
       if (fault_ == Fault::kLateAnswer && faulty) {
         std::uint64_t ms = 0;
         EachLabel(command.content.labels, [&](std::string_view name, std::string_view value) {
-          if (name == "d") ms = WholeNumber(value).value_or(0);
+          if (name == "d") ms = ParseUnsigned(value).value_or(0);
         });
         std::this_thread::sleep_for(std::chrono::milliseconds(ms + 250));
       }
--- a/lab/load/answer.cpp
+++ b/lab/load/answer.cpp
@@ -11,7 +11,7 @@
   if (!value.starts_with(text)) return false;
   value.remove_prefix(text.size());
   const std::size_t colon = value.find(':');
-  const auto n = WholeNumber(value.substr(0, colon));
+  const auto n = ParseUnsigned(value.substr(0, colon));
   if (colon == value.npos || !n) return false;
   serial = static_cast<std::uint32_t>(*n);
   return value.find_first_not_of('v', colon + 1) == value.npos;
@@ -27,7 +27,7 @@
   used = end + 2;
   const std::string_view head = NextWord(rest);
   if (head == "VA") {
-    const auto length = WholeNumber(NextWord(rest));
+    const auto length = ParseUnsigned(NextWord(rest));
     if (!length || *length > kMaxValue || rest != "O" + IdText(id)) return Parsed::kBad;
     if (in.size() < used + *length + 2) return Parsed::kMore;
     if (in.substr(used + *length, 2) != "\r\n") return Parsed::kBad;
@@ -38,7 +38,7 @@
   }
   if (head == "HD") {
     const std::string_view opaque = NextWord(rest);
-    const auto n = rest.starts_with("cr") ? WholeNumber(rest.substr(2)) : std::nullopt;
+    const auto n = rest.starts_with("cr") ? ParseUnsigned(rest.substr(2)) : std::nullopt;
     if (opaque != "O" + IdText(id) || !n) return Parsed::kBad;
     answer.serial = static_cast<std::uint32_t>(*n);
     answer.end = TryEnd::kReceipt;
@@ -47,7 +47,7 @@
   if (head == "SERVER_ERROR") {
     answer.end = NextWord(rest) == "busy" ? TryEnd::kBusy : TryEnd::kFailed;
     if (answer.end == TryEnd::kBusy)
-      answer.retry_after = std::chrono::milliseconds(WholeNumber(rest).value_or(0));
+      answer.retry_after = std::chrono::milliseconds(ParseUnsigned(rest).value_or(0));
     return Parsed::kDone;
   }
   if (head == "CLIENT_ERROR" || head == "ERROR") {
--- a/lab/world/http_request.cpp
+++ b/lab/world/http_request.cpp
@@ -9,14 +9,14 @@
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const auto code =
-        text[i] == '%' && i + 2 < text.size() ? WholeNumber(text.substr(i + 1, 2), 16) : std::nullopt;
+        text[i] == '%' && i + 2 < text.size() ? ParseUnsigned(text.substr(i + 1, 2), 16) : std::nullopt;
     out += code ? static_cast<char>(*code) : text[i];
     if (code) i += 2;
   }
   return out;
 }
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualIgnoringCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() && ::strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
@@ -44,10 +44,10 @@
     std::string_view value = field.substr(colon + 1);
     while (value.starts_with(' ')) value.remove_prefix(1);
     const std::string_view name = field.substr(0, colon);
-    if (SameName(name, "X-Txn")) request.id = value;
-    if (SameName(name, "X-Labels")) request.labels = value;
-    if (SameName(name, "Content-Length")) {
-      const auto length = WholeNumber(value);
+    if (EqualIgnoringCase(name, "X-Txn")) request.id = value;
+    if (EqualIgnoringCase(name, "X-Labels")) request.labels = value;
+    if (EqualIgnoringCase(name, "Content-Length")) {
+      const auto length = ParseUnsigned(value);
       if (!length || *length > (1u << 20)) return Parsed::kBad;
       request.body = *length;
     }
@@ -61,7 +61,7 @@
     const std::size_t amp = query.find('&');
     const std::string_view part = query.substr(0, amp);
     if (part.starts_with(name) && part.size() > name.size() && part[name.size()] == '=') {
-      return WholeNumber(part.substr(name.size() + 1)).value_or(fallback);
+      return ParseUnsigned(part.substr(name.size() + 1)).value_or(fallback);
     }
     query.remove_prefix(amp == query.npos ? query.size() : amp + 1);
   }
--- a/src/protocol/address.h
+++ b/src/protocol/address.h
@@ -17,7 +17,7 @@
 inline std::optional<sockaddr_in> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
-  const auto port = WholeNumber(text.substr(colon + 1));
+  const auto port = ParseUnsigned(text.substr(colon + 1));
   sockaddr_in address{};
   address.sin_family = AF_INET;
   if (!port || *port > 65535) return std::nullopt;
--- a/src/protocol/door.cpp
+++ b/src/protocol/door.cpp
@@ -92,11 +92,11 @@
     const std::size_t colon = field.find(':');
     if (colon == field.npos || !IsToken(field.substr(0, colon))) return Bad(call, 400, "bad header field");
     const std::string_view name = field.substr(0, colon), value = Trim(field.substr(colon + 1));
-    if (SameName(name, "Content-Length")) {
-      const auto stated = WholeNumber(value);
+    if (EqualIgnoringCase(name, "Content-Length")) {
+      const auto stated = ParseUnsigned(value);
       if (!stated || (length && *length != *stated)) return Bad(call, 400, "bad Content-Length");
       length = stated;
-    } else if (SameName(name, "Transfer-Encoding")) {
+    } else if (EqualIgnoringCase(name, "Transfer-Encoding")) {
       return Bad(call, 501, "no transfer coding is taken");
     }
   }
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -50,19 +50,19 @@
 
   // False: the field makes the answer invalid.
   bool Apply(std::string_view name, std::string_view value) {
-    if (SameName(name, "Content-Length")) return ApplyLength(value);
-    if (SameName(name, "Transfer-Encoding")) {
-      chunked_ = SameName(value, "chunked");
+    if (EqualIgnoringCase(name, "Content-Length")) return ApplyLength(value);
+    if (EqualIgnoringCase(name, "Transfer-Encoding")) {
+      chunked_ = EqualIgnoringCase(value, "chunked");
       return chunked_;  // no other coding was requested, and none can be decoded
     }
-    if (SameName(name, "Connection")) {
+    if (EqualIgnoringCase(name, "Connection")) {
       EachMember(value, [this](std::string_view option) {
-        if (SameName(option, "close")) answer_.keep = false;
-        if (SameName(option, "keep-alive")) answer_.keep = true;
+        if (EqualIgnoringCase(option, "close")) answer_.keep = false;
+        if (EqualIgnoringCase(option, "keep-alive")) answer_.keep = true;
       });
-    } else if (SameName(name, "X-Turned-Away")) {
+    } else if (EqualIgnoringCase(name, "X-Turned-Away")) {
       answer_.turned_away = value == "1";
-    } else if (SameName(name, "X-Pressure")) {
+    } else if (EqualIgnoringCase(name, "X-Pressure")) {
       answer_.pressure = value;
     }
     return true;
@@ -81,7 +81,7 @@
   bool ApplyLength(std::string_view value) {
     bool valid = !value.empty();
     EachMember(value, [&](std::string_view member) {
-      const auto stated = WholeNumber(member);
+      const auto stated = ParseUnsigned(member);
       if (!stated || (length_ && *length_ != *stated)) valid = false;
       length_ = stated;
     });
@@ -102,7 +102,7 @@
   std::string_view head = in.substr(0, head_end);
   if (!head.starts_with("HTTP/1.") || head.size() < 12 || head[8] != ' ') return Parsed::kBad;
   answer.keep = head[7] != '0';
-  const auto status = WholeNumber(head.substr(9, 3));
+  const auto status = ParseUnsigned(head.substr(9, 3));
   if (!status || *status < 100 || *status > 599) return Parsed::kBad;
   answer.status = static_cast<int>(*status);
   HeaderFields fields(answer);
@@ -255,7 +255,7 @@
 }
 
 void HttpAnswerReader::StartChunk(std::string_view size_line) {
-  const auto length = WholeNumber(Trim(size_line.substr(0, size_line.find(';'))), 16);
+  const auto length = ParseUnsigned(Trim(size_line.substr(0, size_line.find(';'))), 16);
   if (!length || *length > max_body_ - answer_.body.size()) {
     state_ = State::kBad;
     return;
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -84,7 +84,7 @@
     c.verb = Verb::kRequest;
     c.content.write = true;
     c.content.key = NextWord(rest);
-    const auto length = WholeNumber(NextWord(rest));
+    const auto length = ParseUnsigned(NextWord(rest));
     if (!length || *length > limits.max_value) {  // where the next command begins is unknown, or too far away
       c.error = length ? "value too large" : "bad length";
       return Parsed::kBad;
@@ -123,7 +123,7 @@
     if (name == "size")
       request.size_hint = ParseNumber(value);  // only a hint: without it the request is still executed
     if (name == "d") {
-      const auto ms = WholeNumber(value);
+      const auto ms = ParseUnsigned(value);
       const auto max_ms =
           std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_deadline).count();
       if (!ms) error = "bad deadline";
@@ -192,7 +192,7 @@
   }
   std::optional<std::uint64_t> length;
   if (head == "VA") {
-    length = WholeNumber(NextWord(rest));
+    length = ParseUnsigned(NextWord(rest));
     if (!length || *length > max_value) return Parsed::kBad;
   } else if (head != "HD" && head != "EN") {
     return Parsed::kBad;
--- a/src/protocol/parse.h
+++ b/src/protocol/parse.h
@@ -28,7 +28,7 @@
 };
 
 // A non-negative integer that takes up all of `text`; empty for anything else.
-inline std::optional<std::uint64_t> WholeNumber(std::string_view text, int base = 10) {
+inline std::optional<std::uint64_t> ParseUnsigned(std::string_view text, int base = 10) {
   std::uint64_t n = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n, base);
   if (error != std::errc() || end != text.data() + text.size() || text.empty()) return std::nullopt;
@@ -63,7 +63,7 @@
 }
 
 // HTTP field names are compared without regard to case; Trim removes the blanks around a field value.
-inline bool SameName(std::string_view a, std::string_view b) {
+inline bool EqualIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
