--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -464,7 +464,7 @@
   const Parsed got = ParseHttpHead(in, limits(), used, answer, length);
   if (got != Parsed::kDone) return got;
   if (answer.status != 200) length.reset();  // only a value is streamed
-  keep = answer.keep;
+  keep = answer.keep_alive;
   end = ReadOriginProbe(answer);
   return got;
 }
@@ -474,7 +474,7 @@
   HttpAnswer answer;
   const Parsed got = ParseHttpAnswer(in, limits().max_value, limits(), input, used, answer);
   if (got != Parsed::kDone) return got;
-  keep = answer.keep;
+  keep = answer.keep_alive;
   end =
       operation.request ? ReadOriginAnswer(std::move(answer), *operation.request) : ReadOriginProbe(answer);
   return got;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -238,7 +238,7 @@
     Fail(call.id, CallEndReason::kBadAnswer);
   } else {
     // Guards against bytes after an answer, which would be parsed as the start of the next one.
-    const bool keep = call.answer.answer().keep && input != InputEnd::kClosed && call.answer.surplus() == 0;
+    const bool keep = call.answer.answer().keep_alive && input != InputEnd::kClosed && call.answer.surplus() == 0;
     HandleList(call, keep);
   }
   return got;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -57,8 +57,8 @@
     }
     if (EqualIgnoringCase(name, "Connection")) {
       EachMember(value, [this](std::string_view option) {
-        if (EqualIgnoringCase(option, "close")) answer_.keep = false;
-        if (EqualIgnoringCase(option, "keep-alive")) answer_.keep = true;
+        if (EqualIgnoringCase(option, "close")) answer_.keep_alive = false;
+        if (EqualIgnoringCase(option, "keep-alive")) answer_.keep_alive = true;
       });
     } else if (EqualIgnoringCase(name, "X-Turned-Away")) {
       answer_.turned_away = value == "1";
@@ -101,7 +101,7 @@
   if (head_end == in.npos) return in.size() >= limits.max_http_head + 4 ? Parsed::kBad : Parsed::kMore;
   std::string_view head = in.substr(0, head_end);
   if (!head.starts_with("HTTP/1.") || head.size() < 12 || head[8] != ' ') return Parsed::kBad;
-  answer.keep = head[7] != '0';
+  answer.keep_alive = head[7] != '0';
   const auto status = ParseUnsigned(head.substr(9, 3));
   if (!status || *status < 100 || *status > 599) return Parsed::kBad;
   answer.status = static_cast<int>(*status);
@@ -205,7 +205,7 @@
       state_ = body_left_ > max_body_ ? State::kBad : body_left_ == 0 ? State::kDone : State::kLength;
       return;
     case HttpBodyEnd::kClose:
-      answer_.keep = false;
+      answer_.keep_alive = false;
       state_ = State::kClose;
   }
 }
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -276,7 +276,7 @@
     CHECK(used == c.in.size());
     CHECK(answer.status == c.status);
     CHECK(answer.body == c.body);
-    CHECK(answer.keep == c.keep);
+    CHECK(answer.keep_alive == c.keep);
     // A prefix is never accepted as complete, however its connection ends; only an answer without a stated
     // length ends with an orderly close.
     const InputEnd input_end = c.in.starts_with(no_length) ? InputEnd::kOpen : InputEnd::kClosed;
