--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -238,7 +238,7 @@
   Router router(Target("s1", node.address(), "in_service") + "," +
                 Target("s2", other.address(), "in_service"));
   Fd watch = router.discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   const std::string whole = Http(List(
       2, false,
       Target("s1", node.address(), "terminating") + "," + Target("s2", other.address(), "terminating")));
@@ -246,12 +246,12 @@
   watch.Write(whole.substr(0, second + 20));  // s1's entry is whole, s2's is not; the connection stays open
   const SteadyTime written = std::chrono::steady_clock::now();
   Fd beside = router.discovery.Accept();
-  CHECK(WatchCall(beside).starts_with("GET /api/targets?since=1&timeout_ms=0 "));
+  CHECK(ReadCallHead(beside).starts_with("GET /api/targets?since=1&timeout_ms=0 "));
   CHECK(SecondsSince(written) < 0.8);
   CHECK(LogsDrain(router.process, "s1"));  // from the part that arrived
   beside.Write(whole);
   CHECK(LogsDrain(router.process, "s2"));
-  CHECK(WatchCall(beside).starts_with("GET /api/targets?since=2&"));
+  CHECK(ReadCallHead(beside).starts_with("GET /api/targets?since=2&"));
 }
 
 // Guards against a chain of timeouts, after each of which the call goes to the end of discovery's queue.
@@ -308,32 +308,32 @@
   Listener node, elsewhere, later;
   Router router(Target("s1", node.address(), "in_service"));
   Fd old = router.discovery.Accept();
-  WatchCall(old);
+  ReadCallHead(old);
   router.process.Reload(Router::Config(elsewhere.address(), ""));
   Fd intermediate = elsewhere.Accept();
-  WatchCall(intermediate);  // gets no answer
+  ReadCallHead(intermediate);  // gets no answer
   old.Write(Http(List(2, false, Target("s1", node.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s1"));
-  CHECK(WatchCall(old).starts_with("GET /api/targets?since=2&"));
+  CHECK(ReadCallHead(old).starts_with("GET /api/targets?since=2&"));
   // A call to an address configured in between may wait in that discovery's queue: its answer is used too.
   router.process.Reload(Router::Config(later.address(), ""));
   Fd fresh = later.Accept();
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
+  CHECK(ReadCallHead(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
   const std::string back_in_service = Target("s1", node.address(), "in_service");
   intermediate.Write(
       Http(List(3, true, back_in_service + "," + Target("s2", node.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s2"));
   fresh.Write(Http(List(4, true, back_in_service)));
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=4&"));
+  CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=4&"));
   CHECK(old.Ended());
   CHECK(intermediate.Ended());
   router.process.Reload(Router::Config(elsewhere.address(), ""));  // to another address and back
   Fd there = elsewhere.Accept();
-  WatchCall(there);
+  ReadCallHead(there);
   router.process.Reload(Router::Config(later.address(), ""));
   CHECK(there.Ended());
   fresh.Write(Http(List(5, false, Target("s1", node.address(), "terminating"))));
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=5&"));  // the same watch stayed open
+  CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=5&"));  // the same watch stayed open
 }
 
 // Guards against a fleet that overloads a slow discovery until it refuses every call: with parallel calls
@@ -366,15 +366,15 @@
   const std::string in_service = Target("s1", draining.address(), "in_service") + other;
   Router router(in_service);
   Fd old_watch = router.discovery.Accept();
-  WatchCall(old_watch);
+  ReadCallHead(old_watch);
   router.process.Reload(Router::Config(moved_to.address(), ""));
   Fd call = moved_to.Accept();
-  WatchCall(call);  // its list is created now, and sent later
+  ReadCallHead(call);  // its list is created now, and sent later
   old_watch.Write(Http(List(2, false, Target("s1", draining.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s1"));
   call.Write(Http(List(1, true, in_service)));
   Fd next = moved_to.Accept();  // the router calls again
-  WatchCall(next);
+  ReadCallHead(next);
   std::this_thread::sleep_for(1100ms);  // the grace period is over
   Fd client = router.Connect();
   const auto read_keys = [&](const std::string& round) {
@@ -391,7 +391,7 @@
   CHECK_FALSE(gets_attempts());
   // A newer list is applied at once, although it undoes the drain.
   next.Write(Http(List(3, true, in_service)));
-  WatchCall(next);
+  ReadCallHead(next);
   read_keys("b");
   CHECK(gets_attempts());
 }
@@ -401,7 +401,7 @@
   Listener node;
   Router router(Target("s1", node.address(), "in_service"));
   Fd watch = router.discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   std::string entries = Target("s1", node.address(), "terminating");
   const std::size_t first = entries.size();
   for (int i = 0; i < 30; ++i) {
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -202,7 +202,7 @@
   CHECK(Status(Call(r.process.door, "garbage\r\n\r\n")) == 400);
   Fd client = r.Connect(r.process);
   client.Write(Read("k", "a1"));
-  Fd attempt = r.nodes[FirstCalled({&r.nodes[0], &r.nodes[1]})].Accept();
+  Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
   CHECK(attempt.Line().starts_with("mg k v Oa1"));
   const std::string during = Get(r.process.door, "/v1/metrics");
   CHECK(during.find("router.in_progress:1|g\n") != std::string::npos);
@@ -220,7 +220,7 @@
   attempt.Close();  // so that the next attempt comes on a new connection, whichever cache server it goes to
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   client.Write(Read("m", "a2"));
-  const std::size_t home = FirstCalled({&r.nodes[0], &r.nodes[1], &r.origin});
+  const std::size_t home = FirstConnected({&r.nodes[0], &r.nodes[1], &r.origin});
   REQUIRE(home < 2);  // a cache server first
   Fd missed = r.nodes[home].Accept();
   CHECK(missed.Line().starts_with("mg m v Oa2"));
@@ -266,7 +266,7 @@
   std::vector<Fd> attempts;  // answered only once all are sent, so that each has a connection of its own
   for (int i = 0; i < 4; ++i) {
     client.Write(Read("key" + std::to_string(i), "a" + std::to_string(i)));
-    REQUIRE(FirstCalled({&r.nodes[0], &r.nodes[1]}) == 1);  // never the suspended server
+    REQUIRE(FirstConnected({&r.nodes[0], &r.nodes[1]}) == 1);  // never the suspended server
     attempts.push_back(r.nodes[1].Accept());
     CHECK(attempts.back().Line().starts_with("mg key" + std::to_string(i)));
   }
@@ -332,7 +332,7 @@
   CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
   Fd client = r.Connect(r.process);
   client.Write(Read("k", "a1"));
-  Fd attempt = r.nodes[FirstCalled({&r.nodes[0], &r.nodes[1]})].Accept();
+  Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
   CHECK(attempt.Line().starts_with("mg k v Oa1"));
   attempt.Write("VA 1 Oa1\r\nx\r\n");
   CHECK(client.Line() == "VA 1 Oa1\r\n");
@@ -411,7 +411,7 @@
   CHECK(idle.Line() == "MN\r\n");
   Fd busy = r.Connect(r.process);
   busy.Write(Read("k", "b1"));
-  Fd attempt = r.nodes[FirstCalled({&r.nodes[0], &r.nodes[1]})].Accept();
+  Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
   CHECK(attempt.Line().starts_with("mg k v Ob1"));
   REQUIRE(Status(Post(r.process.door, "/v1/router/drain")) == 200);
   CHECK(Status(Get(r.process.door, "/v1/readyz")) == 503);
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -237,7 +237,7 @@
     REQUIRE_FALSE(router.listen.empty());
     if (number == SIGHUP) {
       Fd watch = after.Accept();  // the configuration was read again, and its discovery is called
-      CHECK(WatchCall(watch).starts_with("GET /api/targets HTTP/1.1\r\n"));
+      CHECK(ReadCallHead(watch).starts_with("GET /api/targets HTTP/1.1\r\n"));
     } else {
       CHECK_FALSE(router.err.Until(" stops; ").empty());
       CHECK(router.Wait() == 0);
@@ -439,11 +439,11 @@
   Process process = Start(config, agent.address());
   for (int rev = 1; rev < 4; ++rev) {
     Fd watch = agent.Accept();
-    CHECK(WatchCall(watch).starts_with("GET /api/targets?since=" + std::to_string(rev) + "&"));
+    CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=" + std::to_string(rev) + "&"));
     const std::string state = rev % 2 == 1 ? "terminating" : "in_service";
     watch.Write(Http(List(rev + 1, false, Target("s1", server.address(), state))));
     CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is ").empty());
-    WatchCall(watch);  // the next call is open; the agent dies during it
+    ReadCallHead(watch);  // the next call is open; the agent dies during it
   }
 }
 
@@ -483,7 +483,7 @@
   CHECK(held < static_cast<std::ptrdiff_t>(kSockets));
   Listener back(discovery.port());
   Fd watch = back.Accept();
-  CHECK(WatchCall(watch).starts_with("GET /api/targets?since=1&"));
+  CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=1&"));
   watch.Write(Http(List(2, false, Target("s1", server.address(), "terminating"))));
   CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is terminating").empty());
 }
@@ -512,14 +512,14 @@
                      l.discovery_answer_timeout = 50ms;
                    });
   Fd watch = discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   const std::string answer = Http(List(2, false, Target("s1", server.address(), "terminating")));
   watch.Write(answer.substr(0, answer.size() / 2));
   CHECK(watch.Ended());
   Fd again = discovery.Accept();
-  CHECK(WatchCall(again).starts_with("GET /api/targets?since=1&"));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=1&"));
   again.Write(answer);
-  CHECK(WatchCall(again).starts_with("GET /api/targets?since=2&"));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=2&"));
 }
 
 // Guards against a second full watch time before an unresponsive discovery is noticed again: the call after
@@ -534,13 +534,13 @@
                      l.discovery_answer_timeout = 50ms;
                    });
   Fd watch = discovery.Accept();
-  CHECK(WatchCall(watch).find("since=1&timeout_ms=30 ") != std::string::npos);
+  CHECK(ReadCallHead(watch).find("since=1&timeout_ms=30 ") != std::string::npos);
   Fd reopened = discovery.Accept();  // the first one was not answered
   CHECK(watch.Ended());
-  CHECK(WatchCall(reopened).find("since=1&timeout_ms=0 ") != std::string::npos);
+  CHECK(ReadCallHead(reopened).find("since=1&timeout_ms=0 ") != std::string::npos);
   Fd third = discovery.Accept();  // nor was this one
   CHECK(reopened.Ended());
-  WatchCall(third);
+  ReadCallHead(third);
 }
 
 // Guards against a late copy of an earlier answer, which would put a draining server back into service.
@@ -548,24 +548,24 @@
   Listener server;
   Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   const std::string old = Http(List(2, true, Target("s1", server.address(), "in_service")));
   discovery.Write(Http(List(3, true, Target("s1", server.address(), "terminating"))));
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   discovery.Write(old);
   CHECK_FALSE(router.process.err.Until("a list of version 2, older than what is held").empty());
   Fd again = router.discovery.Accept();
-  CHECK(WatchCall(again).starts_with("GET /api/targets HTTP"));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets HTTP"));
 }
 
 TEST_CASE("bytes that discovery sends after an answer are not parsed as the next answer") {
   Listener server;
   Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   discovery.Write(Http(List(2, false, "")) +
                   Http(List(9, true, Target("s2", server.address(), "in_service"))));
   CHECK(discovery.Ended());
   Fd again = router.discovery.Accept();
-  CHECK(WatchCall(again).starts_with("GET /api/targets?since=2&"));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=2&"));
 }
--- a/tests/net/message_end_test.cpp
+++ b/tests/net/message_end_test.cpp
@@ -66,7 +66,7 @@
     Listener server;
     Router router(Target("s1", server.address(), "in_service"));
     Fd discovery = router.discovery.Accept();
-    WatchCall(discovery);
+    ReadCallHead(discovery);
     discovery.Write("HTTP/1.1 200 OK\r\n\r\n" +
                     List(2, false, Target("s1", server.address(), "terminating")));
     discovery.Close();
--- a/tests/net/router_test.cpp
+++ b/tests/net/router_test.cpp
@@ -60,15 +60,15 @@
   Router router(Target("s0", servers[0].address(), "in_service") + "," +
                 Target("s1", servers[1].address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  CHECK(WatchCall(discovery).starts_with("GET /api/targets?since=1&timeout_ms="));
+  CHECK(ReadCallHead(discovery).starts_with("GET /api/targets?since=1&timeout_ms="));
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
-  const std::size_t home = FirstCalled({&servers[0], &servers[1]});
+  const std::size_t home = FirstConnected({&servers[0], &servers[1]});
   Fd attempt = servers[home].Accept();
   CHECK(attempt.Line().starts_with("mg k v Oa1"));
   discovery.Write(
       Http(List(2, false, Target("s" + std::to_string(home), servers[home].address(), "terminating"))));
-  CHECK(WatchCall(discovery).starts_with("GET /api/targets?since=2&"));  // the update was received
+  CHECK(ReadCallHead(discovery).starts_with("GET /api/targets?since=2&"));  // the update was received
   attempt.Write("VA 1 Oa1\r\nx\r\n");                                    // it completes the request it has
   CHECK(client.Line() == "VA 1 Oa1\r\n");
   CHECK(client.Line() == "x\r\n");
@@ -95,7 +95,7 @@
   std::vector<Fd> attempts;  // none is answered, so all of them are open at once
   int cold_attempts = 0;
   for (int i = 0; i < kRequests; ++i) {
-    const bool is_cold = FirstCalled({&warm, &cold}) == 1;
+    const bool is_cold = FirstConnected({&warm, &cold}) == 1;
     attempts.push_back((is_cold ? cold : warm).Accept());
     cold_attempts += is_cold;
   }
@@ -311,7 +311,7 @@
   Listener server;
   Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
   Fd old = server.Accept();
@@ -325,7 +325,7 @@
   CHECK(fresh.Line().starts_with("mg k v Oa2"));
   fresh.Write("VA 1 Oa2\r\nx\r\n");
   CHECK(client.Until("x\r\n") == "VA 1 Oa2\r\nx\r\n");
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   discovery.Write(Http(List(3, false, Target("s2", server.address(), "in_service", 1000))));  // restarted
   CHECK(fresh.Ended());
 }
@@ -334,13 +334,13 @@
   Listener before, after;
   Router router(Target("s1", before.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
   Fd attempt = before.Accept();
   attempt.Line();
   discovery.Write(Http(List(2, false, Target("s1", after.address(), "in_service"))));
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   attempt.Write("VA 1 Oa1\r\nx\r\n");
   CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
   client.Write(Read("k", "a2"));
@@ -375,7 +375,7 @@
                 Target("s1", servers[1].address(), "in_service"));
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
-  const std::size_t first = FirstCalled({&servers[0], &servers[1]});
+  const std::size_t first = FirstConnected({&servers[0], &servers[1]});
   Fd attempt = servers[first].Accept();
   attempt.Line();
   attempt.Write("VA 1 Osomebody-else\r\nx\r\n");
@@ -427,7 +427,7 @@
   Listener server, later, elsewhere;
   Router router(Target("s1", server.address(), "in_service"));
   Fd old = router.discovery.Accept();
-  WatchCall(old);
+  ReadCallHead(old);
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
   Fd attempt = server.Accept();
@@ -438,17 +438,17 @@
     CHECK_FALSE(router.process.err.Until("configuration kept as it was").empty());
   }
   old.Write(Http(List(2, false, "")));
-  CHECK(WatchCall(old).starts_with("GET /api/targets?since=2&"));
+  CHECK(ReadCallHead(old).starts_with("GET /api/targets?since=2&"));
   // PROXY_DISCOVERY still names the old address. The call to the new one is never answered.
   router.process.Reload(Router::Config(elsewhere.address(), ""));
   Fd passing = elsewhere.Accept();
-  CHECK(WatchCall(passing).starts_with("GET /api/targets HTTP/1.1\r\n"));
+  CHECK(ReadCallHead(passing).starts_with("GET /api/targets HTTP/1.1\r\n"));
   CHECK(old.Ended());
   router.process.Reload(Router::Config(later.address(), ""));  // again, during that call
   Fd fresh = later.Accept();
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
+  CHECK(ReadCallHead(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
   fresh.Write(Http(List(3, true, Target("s1", server.address(), "in_service"))));
-  CHECK(WatchCall(fresh).starts_with("GET /api/targets?since=3&"));
+  CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=3&"));
   CHECK(passing.Ended());
   attempt.Write("VA 1 Oa1\r\nx\r\n");
   CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
@@ -469,14 +469,14 @@
   Process process = Start(LargeFleetConfig(unused.address()), unused.address());
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
-  CHECK(WatchCall(watch).starts_with("GET /api/targets?since=7&"));
+  CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=7&"));
   Fd reopened = discovery.Accept();  // the first one was not answered
   CHECK(watch.Ended());
-  CHECK(WatchCall(reopened).starts_with("GET /api/targets?since=7&"));
+  CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=7&"));
   reopened.Write(Http(List(8, false, Target("s1", server.address(), "terminating"))));
-  CHECK(WatchCall(reopened).starts_with("GET /api/targets?since=8&"));
+  CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=8&"));
   CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is terminating").empty());
 }
 
@@ -487,15 +487,15 @@
   Process process = Start(LargeFleetConfig(unused.address()), unused.address());
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   const std::string list = Http(List(7, true, Target("s1", server.address(), "in_service")));
   watch.Write(list);
   for (const std::string& begun : {std::string(), list.substr(0, list.size() / 2)}) {
-    WatchCall(watch);
+    ReadCallHead(watch);
     watch.Write(begun);
     watch.Close();
     Fd reopened = discovery.Accept();
-    CHECK(WatchCall(reopened).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
+    CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
     reopened.Write(list);
     watch = std::move(reopened);
   }
@@ -508,15 +508,15 @@
   Process process = Start(LargeFleetConfig(unused.address()), unused.address());
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
-  WatchCall(watch);
+  ReadCallHead(watch);
   watch.Close();
   Fd reopened = discovery.Accept();
-  WatchCall(reopened);
+  ReadCallHead(reopened);
   reopened.Close();
   Fd again = discovery.Accept();
-  CHECK(WatchCall(again).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
 }
 
 // Guards against a shortage of this router that is handled like a refusal by discovery, with a long wait.
@@ -525,9 +525,9 @@
   Process process = Start(LargeFleetConfig(unused.address()), unused.address());
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
-  WatchCall(watch);
+  ReadCallHead(watch);
   watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
-  WatchCall(watch);
+  ReadCallHead(watch);
   const rlimit none{3, 256}, enough{256, 256};
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &none, nullptr) == 0);
   watch.Close();
@@ -535,7 +535,7 @@
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &enough, nullptr) == 0);
   Fd reopened = discovery.Accept();
   // Not delayed like a refusal, after which the next call would be a watch that waits for changes.
-  CHECK(WatchCall(reopened).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
+  CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=7&timeout_ms=0 "));
 }
 
 TEST_CASE(
@@ -592,7 +592,7 @@
   Listener server;
   Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   discovery.Write(Http(List(2, true, R"({"uid":"s9","state":"dozing"})")));
   CHECK_FALSE(router.process.err.Until("server list refused").empty());
   Fd client = router.Connect();
@@ -605,11 +605,11 @@
   Listener server;
   Router router(Target("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
-  WatchCall(discovery);
+  ReadCallHead(discovery);
   discovery.Write(Http(List(0, false, Target("s1", server.address(), "terminated"))));
   CHECK_FALSE(router.process.err.Until("changes of version 0, older than what is held").empty());
   Fd again = router.discovery.Accept();
-  CHECK(WatchCall(again).starts_with("GET /api/targets HTTP"));
+  CHECK(ReadCallHead(again).starts_with("GET /api/targets HTTP"));
   Fd client = router.Connect();
   client.Write(Read("k", "a1"));
   Fd attempt = server.Accept();
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -140,9 +140,9 @@
     Process first = Start(Router::Config(discovery.address(), list), discovery.address(),
                           {"BRASSWOOD_STATE=" + state.settings});
     Fd watch = discovery.Accept();
-    WatchCall(watch);
+    ReadCallHead(watch);
     watch.Write(Http(List(7, true, list)));
-    WatchCall(watch);
+    ReadCallHead(watch);
     const Snapshot stored = state.Await(7);
     CHECK(stored.list.entries.size() == 2);
     REQUIRE(::kill(first.pid, SIGKILL) == 0);
@@ -164,7 +164,7 @@
   for (int i = 0; i < 4; ++i) {
     const std::string id = "a" + std::to_string(i);
     client.Write(Read("key" + std::to_string(i), id));
-    REQUIRE(FirstCalled({&node, &other}) == 0);  // never the suspended server
+    REQUIRE(FirstConnected({&node, &other}) == 0);  // never the suspended server
     Fd attempt = node.Accept();
     CHECK(attempt.Line().starts_with("mg key" + std::to_string(i)));
     attempt.Write("VA 1 O" + id + "\r\nx\r\n");
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -125,7 +125,7 @@
 };
 
 // The index of the first of these listeners to receive a connection.
-inline std::size_t FirstCalled(const std::vector<const Listener*>& listeners) {
+inline std::size_t FirstConnected(const std::vector<const Listener*>& listeners) {
   std::vector<pollfd> polled;
   for (const Listener* l : listeners) polled.push_back({l->get(), POLLIN, 0});
   if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1)
@@ -155,7 +155,7 @@
 }
 
 // Reads the head of a call to discovery, which is not answered yet.
-inline std::string WatchCall(Fd& discovery) { return discovery.Until("\r\n\r\n"); }
+inline std::string ReadCallHead(Fd& discovery) { return discovery.Until("\r\n\r\n"); }
 
 struct Process {
   pid_t pid = -1;
