--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -65,7 +65,7 @@
   CHECK(turn(13s, 14s, 14s) == 14s);          // the poll ended at the deadline
   CHECK(turn(15s, 16s, 15500ms) == 15500ms);  // the poll ended after the deadline: the process was paused
   CHECK(turn(17s, 17200ms, 16900ms) == 17s);  // but no event was pending when the poll began
-  polls.PollStarted(18s, std::nullopt);           // an iteration without callbacks
+  polls.PollStarted(18s, std::nullopt);       // an iteration without callbacks
   CHECK(turn(18100ms, 18100ms) == 18s);
 }
 
--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -63,7 +63,8 @@
   CHECK_FALSE(directory.Find("s4"));
   CHECK(directory.held() == 2);
   // A newer update that puts the server in service is applied at once.
-  CHECK(directory.Merge(Changes(3, {Entry("s1")}), Requested(20s, 24s, 2)).verdict == ListVerdict::kApplied);
+  CHECK(directory.Merge(Changes(3, {Entry("s1")}), Requested(20s, 24s, 2)).verdict ==
+        ListVerdict::kApplied);
   CHECK(directory.IsServing("s1"));
 }
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -38,7 +38,7 @@
   while (std::chrono::steady_clock::now() - from < timeout) {
     std::string line;
     try {
-      line = process.err.Until("\n");
+      line = process.err.ReadUntil("\n");
     } catch (const std::runtime_error&) {  // no log line for a long time
       return false;
     }
@@ -207,7 +207,7 @@
     refused.call = Call::kWaits;
     for (Caller& caller : callers_) {
       if (caller.router == refused.router && caller.call == Call::kWaits)
-        Send(caller, Http("", "503 Service Unavailable"));
+        Send(caller, HttpResponse("", "503 Service Unavailable"));
     }
   }
   void AnswerDue(Caller& caller) {
@@ -235,13 +235,14 @@
 TEST_CASE(
     "after an answer with a drain that stops in the middle the rest is received within the grace period") {
   Listener node, other;
-  Router router(Target("s1", node.address(), "in_service") + "," +
-                Target("s2", other.address(), "in_service"));
+  Router router(ServerEntryJson("s1", node.address(), "in_service") + "," +
+                ServerEntryJson("s2", other.address(), "in_service"));
   Fd watch = router.discovery.Accept();
   ReadCallHead(watch);
-  const std::string whole = Http(List(
-      2, false,
-      Target("s1", node.address(), "terminating") + "," + Target("s2", other.address(), "terminating")));
+  const std::string whole =
+      HttpResponse(ServerListJson(2, false,
+                                  ServerEntryJson("s1", node.address(), "terminating") + "," +
+                                      ServerEntryJson("s2", other.address(), "terminating")));
   const std::size_t second = whole.find(R"({"uid":"s2")");
   watch.Write(whole.substr(0, second + 20));  // s1's entry is whole, s2's is not; the connection stays open
   const SteadyTime written = std::chrono::steady_clock::now();
@@ -257,8 +258,9 @@
 // Guards against a chain of timeouts, after each of which the call goes to the end of discovery's queue.
 TEST_CASE("after SIGHUP a drain is received, however slowly discovery handles the calls") {
   Listener node, nobody;
-  const std::string drains = Http(List(2, true, Target("s1", node.address(), "terminating")));
-  const std::string known = Target("s1", node.address(), "in_service");
+  const std::string drains =
+      HttpResponse(ServerListJson(2, true, ServerEntryJson("s1", node.address(), "terminating")));
+  const std::string known = ServerEntryJson("s1", node.address(), "in_service");
   const auto config = [&](const std::string& discovery, bool pushed) {
     const std::string text = Router::Config(discovery, known);
     return pushed ? WithPushedLists(text) : text;
@@ -306,33 +308,33 @@
 // Guards against receiving no changes from a new configuration on until its discovery answers.
 TEST_CASE("after SIGHUP the old watch's changes are applied until the new address has sent its list") {
   Listener node, elsewhere, later;
-  Router router(Target("s1", node.address(), "in_service"));
+  Router router(ServerEntryJson("s1", node.address(), "in_service"));
   Fd old = router.discovery.Accept();
   ReadCallHead(old);
   router.process.Reload(Router::Config(elsewhere.address(), ""));
   Fd intermediate = elsewhere.Accept();
   ReadCallHead(intermediate);  // gets no answer
-  old.Write(Http(List(2, false, Target("s1", node.address(), "terminating"))));
+  old.Write(HttpResponse(ServerListJson(2, false, ServerEntryJson("s1", node.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s1"));
   CHECK(ReadCallHead(old).starts_with("GET /api/targets?since=2&"));
   // A call to an address configured in between may wait in that discovery's queue: its answer is used too.
   router.process.Reload(Router::Config(later.address(), ""));
   Fd fresh = later.Accept();
   CHECK(ReadCallHead(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
-  const std::string back_in_service = Target("s1", node.address(), "in_service");
-  intermediate.Write(
-      Http(List(3, true, back_in_service + "," + Target("s2", node.address(), "terminating"))));
+  const std::string back_in_service = ServerEntryJson("s1", node.address(), "in_service");
+  intermediate.Write(HttpResponse(ServerListJson(
+      3, true, back_in_service + "," + ServerEntryJson("s2", node.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s2"));
-  fresh.Write(Http(List(4, true, back_in_service)));
+  fresh.Write(HttpResponse(ServerListJson(4, true, back_in_service)));
   CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=4&"));
-  CHECK(old.Ended());
-  CHECK(intermediate.Ended());
+  CHECK(old.PeerClosed());
+  CHECK(intermediate.PeerClosed());
   router.process.Reload(Router::Config(elsewhere.address(), ""));  // to another address and back
   Fd there = elsewhere.Accept();
   ReadCallHead(there);
   router.process.Reload(Router::Config(later.address(), ""));
-  CHECK(there.Ended());
-  fresh.Write(Http(List(5, false, Target("s1", node.address(), "terminating"))));
+  CHECK(there.PeerClosed());
+  fresh.Write(HttpResponse(ServerListJson(5, false, ServerEntryJson("s1", node.address(), "terminating"))));
   CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=5&"));  // the same watch stayed open
 }
 
@@ -342,9 +344,10 @@
 TEST_CASE("six routers of a slow discovery receive a drain within 6 s of four configurations in a row") {
   constexpr std::size_t kRouters = 6;
   Listener node, nobody;
-  CrowdedDiscovery crowded(kRouters, Http(List(2, true, Target("s1", node.address(), "terminating"))));
+  CrowdedDiscovery crowded(kRouters, HttpResponse(ServerListJson(
+                                         2, true, ServerEntryJson("s1", node.address(), "terminating"))));
   const auto config = [&](const std::string& discovery) {
-    return Replaced(Router::Config(discovery, Target("s1", node.address(), "in_service")),
+    return Replaced(Router::Config(discovery, ServerEntryJson("s1", node.address(), "in_service")),
                     R"("balancers":1,)", R"("balancers":6,)");
   };
   std::vector<Process> processes;
@@ -362,17 +365,18 @@
 // Guards against a drain that is undone by an older list that arrives later.
 TEST_CASE("after SIGHUP a list created before a drain was received does not undo the drain") {
   Listener draining, serving, moved_to;
-  const std::string other = "," + Target("s2", serving.address(), "in_service");
-  const std::string in_service = Target("s1", draining.address(), "in_service") + other;
+  const std::string other = "," + ServerEntryJson("s2", serving.address(), "in_service");
+  const std::string in_service = ServerEntryJson("s1", draining.address(), "in_service") + other;
   Router router(in_service);
   Fd old_watch = router.discovery.Accept();
   ReadCallHead(old_watch);
   router.process.Reload(Router::Config(moved_to.address(), ""));
   Fd call = moved_to.Accept();
   ReadCallHead(call);  // its list is created now, and sent later
-  old_watch.Write(Http(List(2, false, Target("s1", draining.address(), "terminating"))));
+  old_watch.Write(
+      HttpResponse(ServerListJson(2, false, ServerEntryJson("s1", draining.address(), "terminating"))));
   CHECK(LogsDrain(router.process, "s1"));
-  call.Write(Http(List(1, true, in_service)));
+  call.Write(HttpResponse(ServerListJson(1, true, in_service)));
   Fd next = moved_to.Accept();  // the router calls again
   ReadCallHead(next);
   std::this_thread::sleep_for(1100ms);  // the grace period is over
@@ -380,7 +384,7 @@
   const auto read_keys = [&](const std::string& round) {
     for (int i = 0; i < 40; ++i) {
       const std::string key = round + std::to_string(i);
-      client.Write(Read(key, key, 400));
+      client.Write(ReadCommand(key, key, 400));
     }
   };
   const auto gets_attempts = [&] {
@@ -390,7 +394,7 @@
   read_keys("a");
   CHECK_FALSE(gets_attempts());
   // A newer list is applied at once, although it undoes the drain.
-  next.Write(Http(List(3, true, in_service)));
+  next.Write(HttpResponse(ServerListJson(3, true, in_service)));
   ReadCallHead(next);
   read_keys("b");
   CHECK(gets_attempts());
@@ -399,15 +403,15 @@
 // Guards against a change that waits for the end of a slow answer that neither stalls nor completes.
 TEST_CASE("a drain early in a slow answer is applied once its entry's last byte has arrived") {
   Listener node;
-  Router router(Target("s1", node.address(), "in_service"));
+  Router router(ServerEntryJson("s1", node.address(), "in_service"));
   Fd watch = router.discovery.Accept();
   ReadCallHead(watch);
-  std::string entries = Target("s1", node.address(), "terminating");
+  std::string entries = ServerEntryJson("s1", node.address(), "terminating");
   const std::size_t first = entries.size();
   for (int i = 0; i < 30; ++i) {
-    entries += "," + Target("t" + std::to_string(i), node.address(), "in_service");
+    entries += "," + ServerEntryJson("t" + std::to_string(i), node.address(), "in_service");
   }
-  const std::string answer = Http(List(2, false, entries));
+  const std::string answer = HttpResponse(ServerListJson(2, false, entries));
   const std::size_t drain_end = answer.find(entries) + first;
   watch.Write(answer.substr(0, drain_end));
   const SteadyTime written = std::chrono::steady_clock::now();
--- a/tests/net/door_test.cpp
+++ b/tests/net/door_test.cpp
@@ -140,7 +140,7 @@
   REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   fd.Write(text);
   std::string all;
-  for (std::string part = fd.Until("\n"); !part.empty(); part = fd.Until("\n")) all += part;
+  for (std::string part = fd.ReadUntil("\n"); !part.empty(); part = fd.ReadUntil("\n")) all += part;
   return all;
 }
 std::string Get(const std::string& address, const std::string& path) {
@@ -166,10 +166,10 @@
   }
   // Starts another process of the same router: same name and $TMPDIR, ports of its own.
   Process StartProcess() const {
-    std::string config =
-        Router::Config(discovery.address(), Target("s0", nodes[0].address(), "in_service") + "," +
-                                                Target("s1", nodes[1].address(), "in_service") + "," +
-                                                Target("o1", origin.address(), "in_service", 0, "origin"));
+    std::string config = Router::Config(
+        discovery.address(), ServerEntryJson("s0", nodes[0].address(), "in_service") + "," +
+                                 ServerEntryJson("s1", nodes[1].address(), "in_service") + "," +
+                                 ServerEntryJson("o1", origin.address(), "in_service", 0, "origin"));
     config.insert(1, R"("admin_addr":"127.0.0.1:0",)");
     return Start(config, discovery.address(), {"TMPDIR=" + directory});
   }
@@ -188,29 +188,29 @@
 
 TEST_CASE("a router without admin_addr has no admin interface") {
   Router router("");
-  CHECK(router.process.door.empty());
+  CHECK(router.process.admin_address.empty());
 }
 
 TEST_CASE(
     "the admin interface answers readiness, metrics after known traffic, and unknown paths and methods") {
   AdminRouter r;
-  REQUIRE_FALSE(r.process.door.empty());
-  CHECK(Status(Get(r.process.door, "/v1/readyz")) == 200);
-  CHECK(Status(Get(r.process.door, "/v1/nothing")) == 404);
-  CHECK(Status(Post(r.process.door, "/v1/metrics")) == 405);
-  CHECK(Status(Call(r.process.door, "BREW /v1/readyz HTTP/1.1\r\n\r\n")) == 405);
-  CHECK(Status(Call(r.process.door, "garbage\r\n\r\n")) == 400);
+  REQUIRE_FALSE(r.process.admin_address.empty());
+  CHECK(Status(Get(r.process.admin_address, "/v1/readyz")) == 200);
+  CHECK(Status(Get(r.process.admin_address, "/v1/nothing")) == 404);
+  CHECK(Status(Post(r.process.admin_address, "/v1/metrics")) == 405);
+  CHECK(Status(Call(r.process.admin_address, "BREW /v1/readyz HTTP/1.1\r\n\r\n")) == 405);
+  CHECK(Status(Call(r.process.admin_address, "garbage\r\n\r\n")) == 400);
   Fd client = r.Connect(r.process);
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1"));
-  const std::string during = Get(r.process.door, "/v1/metrics");
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1"));
+  const std::string during = Get(r.process.admin_address, "/v1/metrics");
   CHECK(during.find("router.in_progress:1|g\n") != std::string::npos);
   CHECK(during.find("router.upstream_tries:1|c\n") != std::string::npos);
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
-  CHECK(client.Line() == "x\r\n");
-  const std::string after = Get(r.process.door, "/v1/metrics");
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "x\r\n");
+  const std::string after = Get(r.process.admin_address, "/v1/metrics");
   CHECK(after.find("router.passed.read:1|c\n") != std::string::npos);
   CHECK(after.find("router.passed.publish:0|c\n") != std::string::npos);
   CHECK(after.find("router.in_progress:0|g\n") != std::string::npos);
@@ -219,98 +219,106 @@
   // A miss goes on to the origin: that attempt counts as an upstream try too.
   attempt.Close();  // so that the next attempt comes on a new connection, whichever cache server it goes to
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
-  client.Write(Read("m", "a2"));
+  client.Write(ReadCommand("m", "a2"));
   const std::size_t home = FirstConnected({&r.nodes[0], &r.nodes[1], &r.origin});
   REQUIRE(home < 2);  // a cache server first
   Fd missed = r.nodes[home].Accept();
-  CHECK(missed.Line().starts_with("mg m v Oa2"));
+  CHECK(missed.ReadLine().starts_with("mg m v Oa2"));
   missed.Write("EN Oa2\r\n");
   Fd fetch = r.origin.Accept();
-  CHECK(fetch.Until("\r\n\r\n").starts_with("GET /m HTTP/1.1\r\n"));
-  fetch.Write(Http("v"));
-  CHECK(client.Line() == "VA 1 Oa2\r\n");
-  CHECK(client.Line() == "v\r\n");
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.upstream_tries:3|c\n") != std::string::npos);
+  CHECK(fetch.ReadUntil("\r\n\r\n").starts_with("GET /m HTTP/1.1\r\n"));
+  fetch.Write(HttpResponse("v"));
+  CHECK(client.ReadLine() == "VA 1 Oa2\r\n");
+  CHECK(client.ReadLine() == "v\r\n");
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.upstream_tries:3|c\n") !=
+        std::string::npos);
 }
 
 TEST_CASE("the admin interface answers while other callers send nothing or half a call") {
   AdminRouter r;
   std::vector<Fd> silent;
-  for (int i = 0; i < 40; ++i) {  // more than Limits::door_callers
+  for (int i = 0; i < 40; ++i) {  // more than Limits::max_admin_connections
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port =
-        htons(static_cast<std::uint16_t>(std::stoi(r.process.door.substr(r.process.door.rfind(':') + 1))));
+    at.sin_port = htons(static_cast<std::uint16_t>(
+        std::stoi(r.process.admin_address.substr(r.process.admin_address.rfind(':') + 1))));
     REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
     if (i % 2 == 1) fd.Write("GET /v1/rea");
     silent.push_back(std::move(fd));
   }
-  CHECK(Status(Get(r.process.door, "/v1/readyz")) == 200);
+  CHECK(Status(Get(r.process.admin_address, "/v1/readyz")) == 200);
   // The half call is answered at its deadline, or closed for a newer one; it never stays open.
-  const std::string answer = silent.back().Until("\r\n\r\n");
+  const std::string answer = silent.back().ReadUntil("\r\n\r\n");
   CHECK((answer.empty() || Status(answer) == 400));
 }
 
 TEST_CASE("suspend and resume: unknown ids are refused, and a suspended server gets no new attempt") {
   AdminRouter r;
-  CHECK(Status(Post(r.process.door, "/v1/cache-servers/s-nobody/suspend")) == 404);
-  CHECK(Status(Post(r.process.door, "/v1/cache-servers/s-nobody/resume")) == 404);
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
+  CHECK(Status(Post(r.process.admin_address, "/v1/cache-servers/s-nobody/suspend")) == 404);
+  CHECK(Status(Post(r.process.admin_address, "/v1/cache-servers/s-nobody/resume")) == 404);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/suspend")) == 200);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/suspend")) == 200);
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") !=
+        std::string::npos);
   // Attempts may still be sent until half of the grace period is over.
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
   Fd client = r.Connect(r.process);
   std::vector<Fd> attempts;  // answered only once all are sent, so that each has a connection of its own
   for (int i = 0; i < 4; ++i) {
-    client.Write(Read("key" + std::to_string(i), "a" + std::to_string(i)));
+    client.Write(ReadCommand("key" + std::to_string(i), "a" + std::to_string(i)));
     REQUIRE(FirstConnected({&r.nodes[0], &r.nodes[1]}) == 1);  // never the suspended server
     attempts.push_back(r.nodes[1].Accept());
-    CHECK(attempts.back().Line().starts_with("mg key" + std::to_string(i)));
+    CHECK(attempts.back().ReadLine().starts_with("mg key" + std::to_string(i)));
   }
   for (int i = 0; i < 4; ++i) {
     const std::string id = "a" + std::to_string(i);
     attempts[static_cast<std::size_t>(i)].Write("VA 1 O" + id + "\r\nx\r\n");
-    CHECK(client.Line() == "VA 1 O" + id + "\r\n");
-    CHECK(client.Line() == "x\r\n");
+    CHECK(client.ReadLine() == "VA 1 O" + id + "\r\n");
+    CHECK(client.ReadLine() == "x\r\n");
   }
   // One resume undoes both suspends.
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/resume")) == 200);
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/resume")) == 200);
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") !=
+        std::string::npos);
 }
 
 TEST_CASE("a suspension survives a replacement: the new process reads it from the shared state") {
   AdminRouter r;
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s1/suspend")) == 200);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s1/suspend")) == 200);
   Process second = r.StartProcess();
-  REQUIRE_FALSE(second.door.empty());
-  CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
-  REQUIRE(Status(Post(second.door, "/v1/cache-servers/s1/resume")) == 200);
+  REQUIRE_FALSE(second.admin_address.empty());
+  CHECK(Get(second.admin_address, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") !=
+        std::string::npos);
+  REQUIRE(Status(Post(second.admin_address, "/v1/cache-servers/s1/resume")) == 200);
   std::this_thread::sleep_for(std::chrono::milliseconds(700));  // the old process reads the file too
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") !=
+        std::string::npos);
 }
 
 TEST_CASE("a suspension that cannot be stored takes effect, its answer says so, and it is stored later") {
   AdminRouter r;
   // Now the file exists, without s1.
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/suspend")) == 200);
   // The temporary file cannot be written where a directory has its name.
   const std::string temporary =
       r.directory + "/brasswood-n1.operator." + std::to_string(r.process.pid) + ".new";
   std::filesystem::create_directories(temporary + "/in-the-way");
-  const std::string answer = Post(r.process.door, "/v1/cache-servers/s1/suspend");
+  const std::string answer = Post(r.process.admin_address, "/v1/cache-servers/s1/suspend");
   CHECK(Status(answer) == 200);
   CHECK(answer.find("held in memory only, not stored") != std::string::npos);
   // The file, which is read every 250 ms, does not undo it.
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") != std::string::npos);
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") !=
+        std::string::npos);
   std::filesystem::remove_all(temporary);
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
   Process second = r.StartProcess();
-  CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") != std::string::npos);
-  CHECK(Post(r.process.door, "/v1/cache-servers/s1/resume").find("not stored") == std::string::npos);
+  CHECK(Get(second.admin_address, "/v1/metrics").find("router.skipped_cache_servers:2|g\n") !=
+        std::string::npos);
+  CHECK(Post(r.process.admin_address, "/v1/cache-servers/s1/resume").find("not stored") ==
+        std::string::npos);
 }
 
 // The file is replaced by a pipe without a writer: opening it for reading blocks, as on a disk that does
@@ -318,24 +326,25 @@
 TEST_CASE(
     "a stalled disk delays no call, no request and no exit, and the suspension is stored once it works") {
   AdminRouter r;
-  REQUIRE(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/suspend")) == 200);
   const std::string file = r.directory + "/brasswood-n1.operator";
   REQUIRE(::unlink(file.c_str()) == 0);
   REQUIRE(::mkfifo(file.c_str(), 0600) == 0);
   // The next read is stuck.
-  while (r.process.err.Until("\n").find("the disk does not answer") == std::string::npos) {
+  while (r.process.err.ReadUntil("\n").find("the disk does not answer") == std::string::npos) {
   }
-  const std::string answer = Post(r.process.door, "/v1/cache-servers/s0/resume");
+  const std::string answer = Post(r.process.admin_address, "/v1/cache-servers/s0/resume");
   CHECK(Status(answer) == 200);
   CHECK(answer.find("not stored: the disk does not answer") != std::string::npos);
-  CHECK(Status(Post(r.process.door, "/v1/cache-servers/s0/suspend")) == 200);
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
+  CHECK(Status(Post(r.process.admin_address, "/v1/cache-servers/s0/suspend")) == 200);
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") !=
+        std::string::npos);
   Fd client = r.Connect(r.process);
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1"));
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1"));
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
   SECTION("the exit does not wait for the disk") {
     REQUIRE(::kill(r.process.pid, SIGTERM) == 0);
     CHECK(r.process.Wait() == 0);
@@ -343,10 +352,11 @@
   SECTION("the latest change is stored when the disk answers again") {
     Fd back(::open(file.c_str(), O_WRONLY | O_CLOEXEC));
     back.Close();
-    while (r.process.err.Until("\n").find("operator state is stored again") == std::string::npos) {
+    while (r.process.err.ReadUntil("\n").find("operator state is stored again") == std::string::npos) {
     }
     Process second = r.StartProcess();
-    CHECK(Get(second.door, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") != std::string::npos);
+    CHECK(Get(second.admin_address, "/v1/metrics").find("router.skipped_cache_servers:1|g\n") !=
+          std::string::npos);
   }
 }
 
@@ -399,8 +409,9 @@
   std::ofstream(std::string(path) + "/brasswood-n1.operator")
       << "brasswood operator state 1\nsuspended s0\n";
   AdminRouter r(path);
-  REQUIRE_FALSE(r.process.door.empty());
-  CHECK(Get(r.process.door, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") != std::string::npos);
+  REQUIRE_FALSE(r.process.admin_address.empty());
+  CHECK(Get(r.process.admin_address, "/v1/metrics").find("router.skipped_cache_servers:0|g\n") !=
+        std::string::npos);
 }
 
 TEST_CASE(
@@ -408,26 +419,26 @@
   AdminRouter r;
   Fd idle = r.Connect(r.process);
   idle.Write("mn\r\n");
-  CHECK(idle.Line() == "MN\r\n");
+  CHECK(idle.ReadLine() == "MN\r\n");
   Fd busy = r.Connect(r.process);
-  busy.Write(Read("k", "b1"));
+  busy.Write(ReadCommand("k", "b1"));
   Fd attempt = r.nodes[FirstConnected({&r.nodes[0], &r.nodes[1]})].Accept();
-  CHECK(attempt.Line().starts_with("mg k v Ob1"));
-  REQUIRE(Status(Post(r.process.door, "/v1/router/drain")) == 200);
-  CHECK(Status(Get(r.process.door, "/v1/readyz")) == 503);
-  CHECK(idle.Ended());                 // an idle connection is closed at once
+  CHECK(attempt.ReadLine().starts_with("mg k v Ob1"));
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/router/drain")) == 200);
+  CHECK(Status(Get(r.process.admin_address, "/v1/readyz")) == 503);
+  CHECK(idle.PeerClosed());            // an idle connection is closed at once
   attempt.Write("VA 1 Ob1\r\nx\r\n");  // an accepted request is answered, then its connection is closed
-  CHECK(busy.Line() == "VA 1 Ob1\r\n");
-  CHECK(busy.Line() == "x\r\n");
-  CHECK(busy.Ended());
+  CHECK(busy.ReadLine() == "VA 1 Ob1\r\n");
+  CHECK(busy.ReadLine() == "x\r\n");
+  CHECK(busy.PeerClosed());
   Fd probe = r.Connect(r.process);  // a new connection is still accepted
   probe.Write("mn\r\n");
-  CHECK(probe.Line().starts_with("SERVER_ERROR"));
-  REQUIRE(Status(Post(r.process.door, "/v1/router/activate")) == 200);
-  CHECK(Status(Get(r.process.door, "/v1/readyz")) == 200);
+  CHECK(probe.ReadLine().starts_with("SERVER_ERROR"));
+  REQUIRE(Status(Post(r.process.admin_address, "/v1/router/activate")) == 200);
+  CHECK(Status(Get(r.process.admin_address, "/v1/readyz")) == 200);
   Fd again = r.Connect(r.process);
   again.Write("mn\r\n");
-  CHECK(again.Line() == "MN\r\n");
+  CHECK(again.ReadLine() == "MN\r\n");
 }
 
 TEST_CASE("two processes of one router divide its limits, and a single one has all of them") {
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -54,9 +54,9 @@
 // Lets that client request kUnreadAnswer, so that the router has written all of it and most of it waits in
 // the router's kernel. Returns the attempt's connection.
 Fd SendUnreadAnswer(const Fd& client, const Listener& server) {
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   attempt.Write(kUnreadAnswer);
   pollfd answered{client.get(), POLLIN, 0};
   REQUIRE(::poll(&answered, 1, kTimeoutMs) == 1);
@@ -93,45 +93,50 @@
 // when they are read.
 TEST_CASE("commands of a client that has already closed are not forwarded") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits&) {});
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits&) {});
   Fd client = router.Connect(), other = router.Connect();
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
   router.Freeze();
-  client.Write(Read("k1", "a1") + Read("k2", "a2") + PublishCommand("p", "a3", "body"));
+  client.Write(ReadCommand("k1", "a1") + ReadCommand("k2", "a2") + PublishCommand("p", "a3", "body"));
   client.Close();
   router.Thaw();
-  other.Write(Read("k4", "a4"));
-  CHECK(server.Accept().Line().starts_with("mg k4 v Oa4"));  // the first to reach a server
+  other.Write(ReadCommand("k4", "a4"));
+  CHECK(server.Accept().ReadLine().starts_with("mg k4 v Oa4"));  // the first to reach a server
 }
 
 // Guards against a close that is not noticed while its client is not read.
 TEST_CASE("when a client closes while it is not read, its attempts are closed and no others start") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) { l.max_pipeline = 1; });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) { l.max_pipeline = 1; });
   Fd client = router.Connect(), other = router.Connect();
-  client.Write(Read("k1", "a1", 60000) + Read("k2", "a2", 60000) + Read("k3", "a3", 60000));
+  client.Write(ReadCommand("k1", "a1", 60000) + ReadCommand("k2", "a2", 60000) +
+               ReadCommand("k3", "a3", 60000));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k1 v Oa1"));  // the others wait behind it, unread
+  CHECK(attempt.ReadLine().starts_with("mg k1 v Oa1"));  // the others wait behind it, unread
   client.Close();
-  CHECK(attempt.Ended());  // abandoned a minute before its deadline
-  other.Write(Read("k4", "a4"));
-  CHECK(server.Accept().Line().starts_with("mg k4 v Oa4"));
+  CHECK(attempt.PeerClosed());  // abandoned a minute before its deadline
+  other.Write(ReadCommand("k4", "a4"));
+  CHECK(server.Accept().ReadLine().starts_with("mg k4 v Oa4"));
 }
 
 TEST_CASE("when a client keeps sending after quit and then closes, its attempts are closed") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) { l.max_discarded = 1000; });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) { l.max_discarded = 1000; });
   Fd client = router.Connect();
-  client.Write(Read("k1", "a1", 60000) + "quit\r\n" + std::string(5000, 'x'));  // more than is discarded
+  client.Write(ReadCommand("k1", "a1", 60000) + "quit\r\n" +
+               std::string(5000, 'x'));  // more than is discarded
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k1 v Oa1"));
+  CHECK(attempt.ReadLine().starts_with("mg k1 v Oa1"));
   client.Write(std::string(5000, 'x'));
   client.Close();
-  CHECK(attempt.Ended());
+  CHECK(attempt.PeerClosed());
 }
 
 // ---- A router that is delayed or stopped ----
@@ -140,17 +145,18 @@
 // process is blocked has already waited when it is read, and its deadline counts from its arrival.
 TEST_CASE("a request's deadline counts from its arrival, not from when a blocked router reads it") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits&) {});
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits&) {});
   Fd client = router.Connect();
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
   router.Freeze();
-  client.Write(Read("k", "a1", 5000));
+  client.Write(ReadCommand("k", "a1", 5000));
   std::this_thread::sleep_for(300ms);  // a longer sleep does no harm
   router.Thaw();
   Fd attempt = server.Accept();
-  const std::string line = attempt.Line();
+  const std::string line = attempt.ReadLine();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 300);
@@ -160,17 +166,17 @@
 // stopped while its poll waits with no deadline near.
 TEST_CASE("a request's deadline counts from its arrival at an idle router that is stopped") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
   REQUIRE(::kill(router.process.pid, SIGSTOP) == 0);
   std::this_thread::sleep_for(20ms);
-  client.Write(Read("k", "a1", 5000));
+  client.Write(ReadCommand("k", "a1", 5000));
   std::this_thread::sleep_for(150ms);  // a longer sleep does no harm
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
   Fd attempt = server.Accept();
-  const std::string line = attempt.Line();
+  const std::string line = attempt.ReadLine();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 120);
@@ -180,34 +186,35 @@
 // interrupts returns with deadlines due and no events.
 TEST_CASE("an answer that arrived in time counts even if the router was stopped past the deadline") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1", 1000));
+  client.Write(ReadCommand("k", "a1", 1000));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   REQUIRE(::kill(router.process.pid, SIGSTOP) == 0);
   std::this_thread::sleep_for(50ms);
   attempt.Write("VA 1 Oa1\r\nx\r\n");
   std::this_thread::sleep_for(1200ms);  // past the request's deadline; a longer sleep does no harm
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
 }
 
 // Guards against the same failure when the client table is full: the kernel establishes a connection before
 // the router accepts it, and the command sent on it waits.
 TEST_CASE("a request's deadline counts while its connection waits in the accept queue of a full router") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) {
-                     l.max_clients = 1;
-                     l.evict_silent_after = 300ms;
-                   });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) {
+        l.max_clients = 1;
+        l.evict_silent_after = 300ms;
+      });
   Fd silent = router.Connect();
   std::this_thread::sleep_for(50ms);  // it is accepted, and the table is full
   Fd client = router.Connect();
-  client.Write(Read("k", "a1", 5000));
+  client.Write(ReadCommand("k", "a1", 5000));
   Fd attempt = server.Accept();  // once the silent one is evicted
-  const std::string line = attempt.Line();
+  const std::string line = attempt.ReadLine();
   const std::size_t at = line.find(",d=");
   REQUIRE(at != line.npos);
   CHECK(std::stoi(line.substr(at + 3)) <= 5000 - 200);
@@ -239,7 +246,7 @@
       Fd watch = after.Accept();  // the configuration was read again, and its discovery is called
       CHECK(ReadCallHead(watch).starts_with("GET /api/targets HTTP/1.1\r\n"));
     } else {
-      CHECK_FALSE(router.err.Until(" stops; ").empty());
+      CHECK_FALSE(router.err.ReadUntil(" stops; ").empty());
       CHECK(router.Wait() == 0);
     }
   }
@@ -271,7 +278,7 @@
   REQUIRE_FALSE(router.listen.empty());
   Fd client = ConnectTo(router.listen);
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
   REQUIRE(::kill(router.pid, SIGTERM) == 0);
   CHECK(router.Wait() == 0);
 }
@@ -282,16 +289,16 @@
 // more command just as its connection ends.
 TEST_CASE("SIGTERM: answers waiting in the kernel arrive complete though a command crosses the close") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = SlowClient();
   client = ConnectTo(router.process.listen, std::move(client));
   Fd attempt = SendUnreadAnswer(client, server);
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
-  CHECK_FALSE(router.process.err.Until(" stops; ").empty());
+  CHECK_FALSE(router.process.err.ReadUntil(" stops; ").empty());
   std::this_thread::sleep_for(100ms);  // the router ends the connection; a longer sleep does no harm
-  client.Write(Read("k", "late"));
-  CHECK(client.Until("v\r\n") == kUnreadAnswer);
-  CHECK(client.Ended());  // the late command is for the client to send again
+  client.Write(ReadCommand("k", "late"));
+  CHECK(client.ReadUntil("v\r\n") == kUnreadAnswer);
+  CHECK(client.PeerClosed());  // the late command is for the client to send again
   CHECK(router.process.Wait() == 0);
 }
 
@@ -300,7 +307,7 @@
   for (int i = 0; i < 10; ++i) {
     Process router = Start(Router::Config("127.0.0.1:1", ""));
     REQUIRE(::kill(router.pid, SIGTERM) == 0);
-    CHECK_FALSE(router.err.Until(" counters: ").empty());  // its last line
+    CHECK_FALSE(router.err.ReadUntil(" counters: ").empty());  // its last line
     int status = 0;
     while (::waitpid(router.pid, &status, WNOHANG) == 0) {
       for (const int number : {SIGHUP, SIGTERM, SIGUSR1}) ::kill(router.pid, number);
@@ -315,19 +322,21 @@
 // command crosses the close.
 TEST_CASE("a full table: a client that has not received all of its answer is not evicted") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) {
-                     l.max_clients = 2;
-                     l.evict_silent_after = l.command_timeout = l.client_idle_timeout = 1h;  // no client is closed for being slow
-                   });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) {
+        l.max_clients = 2;
+        l.evict_silent_after = l.command_timeout = l.client_idle_timeout =
+            1h;  // no client is closed for being slow
+      });
   Fd client = ConnectTo(router.address(), SlowClient());
   Fd attempt = SendUnreadAnswer(client, server);
   Fd other = router.Connect();
   other.Write("mn\r\n");
-  CHECK(other.Line() == "MN\r\n");  // its accept looked for a client to evict
+  CHECK(other.ReadLine() == "MN\r\n");  // its accept looked for a client to evict
   client.Write("mn\r\n");
-  CHECK(client.Until("v\r\n") == kUnreadAnswer);
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadUntil("v\r\n") == kUnreadAnswer);
+  CHECK(client.ReadLine() == "MN\r\n");
 }
 
 // ---- Decisions that are outdated once a connection is established ----
@@ -337,8 +346,8 @@
 TEST_CASE("a keyed repeat whose connection is established after its window is not written") {
   UnacceptingListener origin(false);
   Listener discovery;
-  std::string config =
-      Router::Config(discovery.address(), Target("o1", origin.address(), "in_service", 0, "origin"));
+  std::string config = Router::Config(discovery.address(),
+                                      ServerEntryJson("o1", origin.address(), "in_service", 0, "origin"));
   config = Replaced(config, R"("name":"publish","effect":"single_shot",)",
                     R"("name":"publish","effect":"guarded",)");
   const std::size_t window = config.rfind(R"("window":5000000000)");
@@ -347,16 +356,16 @@
   Fd client = router.Connect();
   client.Write(PublishCommand("pkg", "p1", "body"));
   Fd first = origin.Accept();
-  CHECK(first.Until("\r\n\r\nbody").starts_with("PUT /pkg "));
+  CHECK(first.ReadUntil("\r\n\r\nbody").starts_with("PUT /pkg "));
   origin.Fill();
   first.Close();  // it may have run
   std::this_thread::sleep_for(
       400ms);  // past the window, before the SYN is retransmitted; a longer sleep does no harm
   origin.Drain();
   Fd next = origin.Accept();  // its connection is established only now
-  CHECK(client.Line().starts_with("SERVER_ERROR "));
+  CHECK(client.ReadLine().starts_with("SERVER_ERROR "));
   client.Write(PublishCommand("pkg2", "p2", "body"));
-  CHECK(next.Until("\r\n\r\n").starts_with("PUT /pkg2 "));  // nothing of the repeat was written
+  CHECK(next.ReadUntil("\r\n\r\n").starts_with("PUT /pkg2 "));  // nothing of the repeat was written
 }
 
 // Guards against a second copy that starts after the answer, if the settings allow two at once: its
@@ -365,8 +374,8 @@
   Listener server, discovery;
   UnacceptingListener other(false);
   std::string config =
-      Router::Config(discovery.address(), Target("s1", server.address(), "in_service") + "," +
-                                              Target("s2", other.address(), "in_service"));
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service") + "," +
+                                              ServerEntryJson("s2", other.address(), "in_service"));
   config = Replaced(config, R"("cancel":true,)", R"("cancel":true,"parallel_tries":true,)");
   InProcess router(config, [](Limits& l) { l.server_connection_idle_timeout = 50ms; });
   Fd client = router.Connect();
@@ -381,7 +390,7 @@
       if (::poll(polled.data(), polled.size(), kTimeoutMs) < 1) throw std::runtime_error("no attempt");
       for (std::size_t i = polled.size(); i-- > 2;) {
         if (polled[i].revents == 0) continue;
-        const std::string line = attempts[i - 2].first.Line();
+        const std::string line = attempts[i - 2].first.ReadLine();
         if (!line.empty()) return std::pair(line.substr(line.find(" O") + 2, 3), i - 2);
         attempts.erase(attempts.begin() + static_cast<std::ptrdiff_t>(i - 2));
       }
@@ -406,24 +415,24 @@
   std::string key;
   for (int i = 0; i < 100 && (i < 40 || key.empty()); ++i) {
     const std::string id = std::to_string(100 + i);
-    client.Write(Read("k" + id, id));
+    client.Write(ReadCommand("k" + id, id));
     const std::size_t at = await(id);
     if (attempts[at].second) key = "k" + id;
     answer(id, at);
-    CHECK(client.Until("x\r\n") == "VA 1 O" + id + "\r\nx\r\n");
+    CHECK(client.ReadUntil("x\r\n") == "VA 1 O" + id + "\r\nx\r\n");
   }
   REQUIRE_FALSE(key.empty());
   other_accepts = false;
   other.Fill();
   std::erase_if(attempts, [](const auto& a) { return !a.second; });
-  client.Write(Read(key, "999"));
+  client.Write(ReadCommand(key, "999"));
   const std::size_t at = await("999");
   AwaitConnecting(other.address());  // the second copy's connection is being established
   answer("999", at);
-  CHECK(client.Until("x\r\n") == "VA 1 O999\r\nx\r\n");
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 O999\r\nx\r\n");
   other.Drain();
   Fd late = other.Accept();
-  CHECK(late.Ended());  // nothing was written on it
+  CHECK(late.PeerClosed());  // nothing was written on it
 }
 
 // ---- Discovery ----
@@ -431,7 +440,8 @@
 // Guards against a router that never calls discovery if the settings say that lists are pushed.
 TEST_CASE("a pushed list is received at once, and again as soon as its agent is back") {
   Listener server, agent;
-  std::string config = Router::Config(agent.address(), Target("s1", server.address(), "in_service"));
+  std::string config =
+      Router::Config(agent.address(), ServerEntryJson("s1", server.address(), "in_service"));
   config = Replaced(config, R"("registry_mode":"on_request")", R"("registry_mode":"pushed")");
   config = Replaced(config, R"("balancers":1,)",
                     R"("balancers":60000,)");  // a call that is spread over the fleet would take 50 minutes
@@ -441,8 +451,9 @@
     Fd watch = agent.Accept();
     CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=" + std::to_string(rev) + "&"));
     const std::string state = rev % 2 == 1 ? "terminating" : "in_service";
-    watch.Write(Http(List(rev + 1, false, Target("s1", server.address(), state))));
-    CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is ").empty());
+    watch.Write(
+        HttpResponse(ServerListJson(rev + 1, false, ServerEntryJson("s1", server.address(), state))));
+    CHECK_FALSE(process.err.ReadUntil("s1 at " + server.address() + " is ").empty());
     ReadCallHead(watch);  // the next call is open; the agent dies during it
   }
 }
@@ -451,10 +462,11 @@
 TEST_CASE("a connection to discovery that is not established is given up long before a watch would be") {
   Listener server;
   UnacceptingListener discovery;
-  Process process = Start(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                          discovery.address());
-  CHECK_FALSE(process.err.Until("warn discovery: ").empty());
-  CHECK(process.err.Until("\n").find(": no connection in time;") !=
+  Process process =
+      Start(Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+            discovery.address());
+  CHECK_FALSE(process.err.ReadUntil("warn discovery: ").empty());
+  CHECK(process.err.ReadUntil("\n").find(": no connection in time;") !=
         std::string::npos);  // not a silent watch
 }
 
@@ -465,18 +477,18 @@
   Listener server, discovery;
   const std::string address = discovery.address();
   discovery.Close();
-  Process process =
-      Start(Router::Config(address, Target("s1", server.address(), "in_service"), kSockets), address);
+  Process process = Start(
+      Router::Config(address, ServerEntryJson("s1", server.address(), "in_service"), kSockets), address);
   const rlimit most{kSockets, kSockets};
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &most, nullptr) == 0);
-  CHECK_FALSE(process.err.Until("connection lost").empty());
+  CHECK_FALSE(process.err.ReadUntil("connection lost").empty());
   std::vector<Fd> idle;
   const std::string listen = process.listen;
   for (int i = 0; i < 200; ++i) {
     idle.push_back(ConnectTo(listen));
     if (i % 2 == 0) continue;  // half of them send one command
     idle.back().Write("mn\r\n");
-    CHECK(idle.back().Line() == "MN\r\n");
+    CHECK(idle.back().ReadLine() == "MN\r\n");
   }
   const auto held = std::distance(
       std::filesystem::directory_iterator("/proc/" + std::to_string(process.pid) + "/fd"), {});
@@ -484,8 +496,9 @@
   Listener back(discovery.port());
   Fd watch = back.Accept();
   CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=1&"));
-  watch.Write(Http(List(2, false, Target("s1", server.address(), "terminating"))));
-  CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is terminating").empty());
+  watch.Write(
+      HttpResponse(ServerListJson(2, false, ServerEntryJson("s1", server.address(), "terminating"))));
+  CHECK_FALSE(process.err.ReadUntil("s1 at " + server.address() + " is terminating").empty());
 }
 
 TEST_CASE("processes started together without discovery are ready within ten seconds") {
@@ -499,23 +512,25 @@
     processes.push_back(Start(Router::Config(discovery.address(), "", 256), discovery.address()));
     Fd client = ConnectTo(processes.back().listen);
     client.Write("mn\r\n");
-    ready += client.Line() == "MN\r\n" && std::chrono::steady_clock::now() - begun < 10s;
+    ready += client.ReadLine() == "MN\r\n" && std::chrono::steady_clock::now() - begun < 10s;
   }
   CHECK(ready * 10 >= kProcesses * 9);
 }
 
 TEST_CASE("an answer of discovery that stops half way is given up long before a watch would be") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) {
-                     l.watch_time = 1h;
-                     l.discovery_answer_timeout = 50ms;
-                   });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) {
+        l.watch_time = 1h;
+        l.discovery_answer_timeout = 50ms;
+      });
   Fd watch = discovery.Accept();
   ReadCallHead(watch);
-  const std::string answer = Http(List(2, false, Target("s1", server.address(), "terminating")));
+  const std::string answer =
+      HttpResponse(ServerListJson(2, false, ServerEntryJson("s1", server.address(), "terminating")));
   watch.Write(answer.substr(0, answer.size() / 2));
-  CHECK(watch.Ended());
+  CHECK(watch.PeerClosed());
   Fd again = discovery.Accept();
   CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=1&"));
   again.Write(answer);
@@ -526,46 +541,50 @@
 // an unresponsive watch asks for an immediate answer.
 TEST_CASE("the call after an unresponsive watch asks for an immediate answer and soon times out too") {
   Listener server, discovery;
-  InProcess router(Router::Config(discovery.address(), Target("s1", server.address(), "in_service")),
-                   [](Limits& l) {
-                     l.watch_time = 30ms;
-                     l.watch_spread = 0ms;
-                     l.watch_grace = 30ms;
-                     l.discovery_answer_timeout = 50ms;
-                   });
+  InProcess router(
+      Router::Config(discovery.address(), ServerEntryJson("s1", server.address(), "in_service")),
+      [](Limits& l) {
+        l.watch_time = 30ms;
+        l.watch_spread = 0ms;
+        l.watch_grace = 30ms;
+        l.discovery_answer_timeout = 50ms;
+      });
   Fd watch = discovery.Accept();
   CHECK(ReadCallHead(watch).find("since=1&timeout_ms=30 ") != std::string::npos);
   Fd reopened = discovery.Accept();  // the first one was not answered
-  CHECK(watch.Ended());
+  CHECK(watch.PeerClosed());
   CHECK(ReadCallHead(reopened).find("since=1&timeout_ms=0 ") != std::string::npos);
   Fd third = discovery.Accept();  // nor was this one
-  CHECK(reopened.Ended());
+  CHECK(reopened.PeerClosed());
   ReadCallHead(third);
 }
 
 // Guards against a late copy of an earlier answer, which would put a draining server back into service.
 TEST_CASE("a whole list older than the one held changes nothing and is requested again") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
-  const std::string old = Http(List(2, true, Target("s1", server.address(), "in_service")));
-  discovery.Write(Http(List(3, true, Target("s1", server.address(), "terminating"))));
+  const std::string old =
+      HttpResponse(ServerListJson(2, true, ServerEntryJson("s1", server.address(), "in_service")));
+  discovery.Write(
+      HttpResponse(ServerListJson(3, true, ServerEntryJson("s1", server.address(), "terminating"))));
   ReadCallHead(discovery);
   discovery.Write(old);
-  CHECK_FALSE(router.process.err.Until("a list of version 2, older than what is held").empty());
+  CHECK_FALSE(router.process.err.ReadUntil("a list of version 2, older than what is held").empty());
   Fd again = router.discovery.Accept();
   CHECK(ReadCallHead(again).starts_with("GET /api/targets HTTP"));
 }
 
 TEST_CASE("bytes that discovery sends after an answer are not parsed as the next answer") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
-  discovery.Write(Http(List(2, false, "")) +
-                  Http(List(9, true, Target("s2", server.address(), "in_service"))));
-  CHECK(discovery.Ended());
+  discovery.Write(
+      HttpResponse(ServerListJson(2, false, "")) +
+      HttpResponse(ServerListJson(9, true, ServerEntryJson("s2", server.address(), "in_service"))));
+  CHECK(discovery.PeerClosed());
   Fd again = router.discovery.Accept();
   CHECK(ReadCallHead(again).starts_with("GET /api/targets?since=2&"));
 }
--- a/tests/net/message_end_test.cpp
+++ b/tests/net/message_end_test.cpp
@@ -29,22 +29,22 @@
     const auto ask = [&](const std::string& command) {
       client.Write(command);
       Fd origin = router.origin.Accept();
-      origin.Until("\r\n\r\n");
+      origin.ReadUntil("\r\n\r\n");
       return origin;
     };
     for (const std::string head :
          {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n"}) {
       const std::string read = std::to_string(++id), write = std::to_string(++id);
-      Fd origin = ask(Read("k", read));
+      Fd origin = ask(ReadCommand("k", read));
       origin.Write(head + "who");
       origin.Write("le");
       origin.Close();
-      CHECK(client.Line() == "VA 5 O" + read + "\r\n");
-      CHECK(client.Line() == "whole\r\n");
+      CHECK(client.ReadLine() == "VA 5 O" + read + "\r\n");
+      CHECK(client.ReadLine() == "whole\r\n");
       origin = ask(PublishCommand("p", write, "body"));
       origin.Write(head + "receipt-9");
       origin.Close();
-      CHECK(client.Line() == "HD O" + write + " creceipt-9\r\n");
+      CHECK(client.ReadLine() == "HD O" + write + " creceipt-9\r\n");
     }
     const std::string truncated_answers[] = {
         "HTTP/1.1 200 OK\r\n\r\nwhole?", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nrecei",
@@ -52,25 +52,25 @@
     for (const std::string& truncated : truncated_answers) {
       INFO(truncated);
       Fd origin = ask(PublishCommand("p", std::to_string(++id), "body"));
-      origin.Until("body");
+      origin.ReadUntil("body");
       origin.Write(truncated);
       if (&truncated == &truncated_answers[0]) {
         Reset(origin);
       } else {
         origin.Close();
       }
-      CHECK(client.Line() == "SERVER_ERROR failed\r\n");
+      CHECK(client.ReadLine() == "SERVER_ERROR failed\r\n");
     }
   }
   SECTION("from discovery") {
     Listener server;
-    Router router(Target("s1", server.address(), "in_service"));
+    Router router(ServerEntryJson("s1", server.address(), "in_service"));
     Fd discovery = router.discovery.Accept();
     ReadCallHead(discovery);
     discovery.Write("HTTP/1.1 200 OK\r\n\r\n" +
-                    List(2, false, Target("s1", server.address(), "terminating")));
+                    ServerListJson(2, false, ServerEntryJson("s1", server.address(), "terminating")));
     discovery.Close();
-    CHECK_FALSE(router.process.err.Until("s1 at " + server.address() + " is terminating").empty());
+    CHECK_FALSE(router.process.err.ReadUntil("s1 at " + server.address() + " is terminating").empty());
   }
 }
 
@@ -81,7 +81,7 @@
   Fd client = router.Connect();
   client.Write(PublishCommand("p", "a1", "body"));
   Fd origin = router.origin.Accept();
-  origin.Until("body");
+  origin.ReadUntil("body");
   origin.Write("HTTP/1.1 200 OK\r\n\r\nrecei");
   std::this_thread::sleep_for(
       std::chrono::milliseconds(100));  // the router reads it and waits for the rest
@@ -90,5 +90,5 @@
   Reset(origin);
   std::this_thread::sleep_for(std::chrono::milliseconds(600));  // past the deadline for the rest
   REQUIRE(::kill(router.process.pid, SIGCONT) == 0);
-  CHECK(client.Line() == "SERVER_ERROR failed\r\n");
+  CHECK(client.ReadLine() == "SERVER_ERROR failed\r\n");
 }
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -300,7 +300,8 @@
   CHECK(read(503, false, kRead).result == Result::kError);  // it may have run
   CHECK(read(500, true, kRead).result == Result::kError);
   CHECK(read(200, false, kRead).report->queue == 2);
-  const AttemptResult odd = ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
+  const AttemptResult odd =
+      ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
   CHECK(odd.result == Result::kOk);
   CHECK_FALSE(odd.report->queue);
   CHECK_FALSE(odd.report->eps);
@@ -443,7 +444,8 @@
     sized.replace(sized.find("100,\"memory_mb\":64"), 18,
                   std::to_string(sockets) + ",\"memory_mb\":" + std::to_string(memory));
     const Limits l = ReadConfig(sized, "", "", "").limits;
-    const std::size_t worst = l.max_clients * (l.max_value + 2 * l.max_line + l.max_unsent) + l.max_requests * l.max_value * 3 / 2;
+    const std::size_t worst = l.max_clients * (l.max_value + 2 * l.max_line + l.max_unsent) +
+                              l.max_requests * l.max_value * 3 / 2;
     CHECK(worst < std::size_t{memory} * 1024 * 1024 * 4 / 5);
     CHECK(l.max_clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
     CHECK(l.max_pipeline <= l.max_requests / 4);
--- a/tests/net/router_test.cpp
+++ b/tests/net/router_test.cpp
@@ -26,16 +26,16 @@
 
 TEST_CASE("rule 1: every request is answered once and in time, even if its server never answers") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1", 300));
+  client.Write(ReadCommand("k", "a1", 300));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1 Pc=read,d="));
-  const std::string answer = client.Line();  // the server never answers
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1 Pc=read,d="));
+  const std::string answer = client.ReadLine();  // the server never answers
   CHECK(answer.starts_with("SERVER_ERROR "));
-  CHECK(attempt.Ended());  // abandoned and closed
+  CHECK(attempt.PeerClosed());  // abandoned and closed
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");  // the next answer belongs to the next command
+  CHECK(client.ReadLine() == "MN\r\n");  // the next answer belongs to the next command
 }
 
 TEST_CASE("rule 2: a publish that may have run is never sent again") {
@@ -43,40 +43,40 @@
   Fd client = router.Connect();
   client.Write(PublishCommand("pkg", "p1", "body"));
   Fd first = router.origin.Accept();
-  CHECK(first.Until("\r\n\r\nbody").starts_with("PUT /pkg HTTP/1.1\r\n"));
+  CHECK(first.ReadUntil("\r\n\r\nbody").starts_with("PUT /pkg HTTP/1.1\r\n"));
   first.Close();  // the last byte was sent: it may have run
-  CHECK(client.Line() == "SERVER_ERROR failed\r\n");
+  CHECK(client.ReadLine() == "SERVER_ERROR failed\r\n");
   client.Write(PublishCommand("pkg", "p2", "body"));
   Fd second = router.origin.Accept();  // the next request at the origin is the next publish
-  CHECK(second.Until("\r\n\r\nbody").find("X-Txn: p2\r\n") != std::string::npos);
-  second.Write(Http("", "503 Busy", "X-Turned-Away: 1\r\n"));  // it did not run: a retry is allowed
-  CHECK(second.Until("\r\n\r\nbody").find("X-Txn: p2\r\n") != std::string::npos);
-  second.Write(Http("receipt-9"));
-  CHECK(client.Line() == "HD Op2 creceipt-9\r\n");
+  CHECK(second.ReadUntil("\r\n\r\nbody").find("X-Txn: p2\r\n") != std::string::npos);
+  second.Write(HttpResponse("", "503 Busy", "X-Turned-Away: 1\r\n"));  // it did not run: a retry is allowed
+  CHECK(second.ReadUntil("\r\n\r\nbody").find("X-Txn: p2\r\n") != std::string::npos);
+  second.Write(HttpResponse("receipt-9"));
+  CHECK(client.ReadLine() == "HD Op2 creceipt-9\r\n");
 }
 
 TEST_CASE("rule 3: a draining server receives no new requests") {
   Listener servers[2];
-  Router router(Target("s0", servers[0].address(), "in_service") + "," +
-                Target("s1", servers[1].address(), "in_service"));
+  Router router(ServerEntryJson("s0", servers[0].address(), "in_service") + "," +
+                ServerEntryJson("s1", servers[1].address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   CHECK(ReadCallHead(discovery).starts_with("GET /api/targets?since=1&timeout_ms="));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   const std::size_t home = FirstConnected({&servers[0], &servers[1]});
   Fd attempt = servers[home].Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1"));
-  discovery.Write(
-      Http(List(2, false, Target("s" + std::to_string(home), servers[home].address(), "terminating"))));
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1"));
+  discovery.Write(HttpResponse(ServerListJson(
+      2, false, ServerEntryJson("s" + std::to_string(home), servers[home].address(), "terminating"))));
   CHECK(ReadCallHead(discovery).starts_with("GET /api/targets?since=2&"));  // the update was received
-  attempt.Write("VA 1 Oa1\r\nx\r\n");                                    // it completes the request it has
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
-  CHECK(client.Line() == "x\r\n");
-  client.Write(Read("k", "a2"));  // the key's home is draining: the other server is used
+  attempt.Write("VA 1 Oa1\r\nx\r\n");  // it completes the request it has
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "x\r\n");
+  client.Write(ReadCommand("k", "a2"));  // the key's home is draining: the other server is used
   Fd moved = servers[1 - home].Accept();
-  CHECK(moved.Line().starts_with("mg k v Oa2"));
+  CHECK(moved.ReadLine().starts_with("mg k v Oa2"));
   moved.Write("VA 1 Oa2\r\ny\r\n");
-  CHECK(client.Line() == "VA 1 Oa2\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa2\r\n");
 }
 
 TEST_CASE("rule 4: a server that has just started receives no more than its share of many requests") {
@@ -84,13 +84,13 @@
   const long long now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                                std::chrono::system_clock::now().time_since_epoch())
                                .count();
-  Router router(Target("s-warm", warm.address(), "in_service") + "," +
-                Target("s-cold", cold.address(), "in_service", now_ms));
+  Router router(ServerEntryJson("s-warm", warm.address(), "in_service") + "," +
+                ServerEntryJson("s-cold", cold.address(), "in_service", now_ms));
   // Two clients, because a client with 24 unanswered commands is not read any further.
   Fd clients[] = {router.Connect(), router.Connect()};
   constexpr int kRequests = 40;
   for (int i = 0; i < kRequests; ++i) {
-    clients[i % 2].Write(Read("k" + std::to_string(i), "a" + std::to_string(i)));
+    clients[i % 2].Write(ReadCommand("k" + std::to_string(i), "a" + std::to_string(i)));
   }
   std::vector<Fd> attempts;  // none is answered, so all of them are open at once
   int cold_attempts = 0;
@@ -104,15 +104,15 @@
 
 TEST_CASE("a miss is fetched from the origin, and the value is returned unchanged") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
   client.Write("mg k v Oa1 Pc=read,t=acme,d=9000,later=1\r\n");
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().find(",later=1\r\n") != std::string::npos);
+  CHECK(attempt.ReadLine().find(",later=1\r\n") != std::string::npos);
   std::this_thread::sleep_for(std::chrono::milliseconds(300));  // a longer sleep does no harm
   attempt.Write("EN Oa1\r\n");
   Fd origin = router.origin.Accept();
-  const std::string asked = origin.Until("\r\n\r\n");
+  const std::string asked = origin.ReadUntil("\r\n\r\n");
   CHECK(asked.starts_with("GET /k HTTP/1.1\r\n"));
   CHECK(asked.find("X-Txn: a1\r\n") != std::string::npos);
   // The labels are unchanged, except that `d` is the time that is left.
@@ -124,40 +124,40 @@
   CHECK(left > 0);
   CHECK(left <= 9000 - 300);
   const std::string value = "a\r\nb" + std::string(60000, 'z');
-  origin.Write(Http(value));
-  CHECK(client.Line() == "VA 60004 Oa1\r\n");
+  origin.Write(HttpResponse(value));
+  CHECK(client.ReadLine() == "VA 60004 Oa1\r\n");
   CHECK(client.ReadExactly(value.size() + 2) == value + "\r\n");
 }
 
 TEST_CASE("pipelined commands start at once and are answered in order") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k1", "a1") + "what\r\n" + Read("k2", "a2") + "mn\r\n");
+  client.Write(ReadCommand("k1", "a1") + "what\r\n" + ReadCommand("k2", "a2") + "mn\r\n");
   Fd one = server.Accept();
   Fd two = server.Accept();  // while the first is open
-  if (one.Line().find("Oa1") == std::string::npos) std::swap(one, two);
+  if (one.ReadLine().find("Oa1") == std::string::npos) std::swap(one, two);
   const std::string other = "VA 1 Oa2\r\n2\r\n";
   two.Write(other);
   one.Write("VA 1 Oa1\r\n1\r\n");
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
-  CHECK(client.Line() == "1\r\n");
-  CHECK(client.Line() == "ERROR\r\n");
-  CHECK(client.Line() == "VA 1 Oa2\r\n");
-  CHECK(client.Line() == "2\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "1\r\n");
+  CHECK(client.ReadLine() == "ERROR\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa2\r\n");
+  CHECK(client.ReadLine() == "2\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
 }
 
 TEST_CASE("bad commands are answered with an error, and the connection closes if framing is lost") {
   Router router("");
   Fd client = router.Connect();
   client.Write("mg k v\r\nms k 999999 Oa1\r\nmn\r\n");
-  CHECK(client.Line() == "CLIENT_ERROR no id\r\n");
-  CHECK(client.Line() == "CLIENT_ERROR value too large\r\n");
-  CHECK(client.Ended());
+  CHECK(client.ReadLine() == "CLIENT_ERROR no id\r\n");
+  CHECK(client.ReadLine() == "CLIENT_ERROR value too large\r\n");
+  CHECK(client.PeerClosed());
   Fd endless = router.Connect();
   endless.Write(std::string(10000, 'x'));
-  CHECK(endless.Line() == "CLIENT_ERROR line too long\r\n");
+  CHECK(endless.ReadLine() == "CLIENT_ERROR line too long\r\n");
   CHECK(router.Connect().get() >= 0);  // the program still runs
 }
 
@@ -168,55 +168,55 @@
   client.Write("ms k 62914560 Oa1 Pc=publish,d=9000\r\n");
   const std::string megabyte(1 << 20, 'x');
   for (int i = 0; i < 60; ++i) client.Write(megabyte);  // a reset would make this fail
-  CHECK(client.Line() == "CLIENT_ERROR value too large\r\n");
-  CHECK(client.Ended());
+  CHECK(client.ReadLine() == "CLIENT_ERROR value too large\r\n");
+  CHECK(client.PeerClosed());
 }
 
 TEST_CASE("requests that cannot be meant are refused and not forwarded") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd first = router.Connect(), second = router.Connect();
-  first.Write(Read("k", "a1"));
+  first.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
-  second.Write("mg k v Oa2 Pc=nothing,d=9000\r\nmg k v Oa3 Pc=read,d=soon\r\n" + Read("k", "a1") +
-               Read("k", "a4"));
-  CHECK(second.Line() == "CLIENT_ERROR unknown class\r\n");
-  CHECK(second.Line() == "CLIENT_ERROR bad deadline\r\n");
-  CHECK(second.Line() == "CLIENT_ERROR this id is in use\r\n");
-  CHECK(server.Accept().Line().starts_with("mg k v Oa4"));  // the first to reach a server
+  attempt.ReadLine();
+  second.Write("mg k v Oa2 Pc=nothing,d=9000\r\nmg k v Oa3 Pc=read,d=soon\r\n" + ReadCommand("k", "a1") +
+               ReadCommand("k", "a4"));
+  CHECK(second.ReadLine() == "CLIENT_ERROR unknown class\r\n");
+  CHECK(second.ReadLine() == "CLIENT_ERROR bad deadline\r\n");
+  CHECK(second.ReadLine() == "CLIENT_ERROR this id is in use\r\n");
+  CHECK(server.Accept().ReadLine().starts_with("mg k v Oa4"));  // the first to reach a server
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(first.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");  // not affected by the other request with its id
+  CHECK(first.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");  // not affected by the other request with its id
 }
 
 TEST_CASE("clients that send no complete command in time are closed, after an error if one was begun") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd silent = router.Connect(), half = router.Connect(), busy = router.Connect();
   half.Write("ms k 10 Oa1 Pc=publish,d=9000\r\nabc");
-  busy.Write(Read("k", "a2"));
+  busy.Write(ReadCommand("k", "a2"));
   Fd attempt = server.Accept();
-  attempt.Line();
-  CHECK(half.Line() == "CLIENT_ERROR command not ended in time\r\n");
-  CHECK(half.Ended());
-  CHECK(silent.Ended());
+  attempt.ReadLine();
+  CHECK(half.ReadLine() == "CLIENT_ERROR command not ended in time\r\n");
+  CHECK(half.PeerClosed());
+  CHECK(silent.PeerClosed());
   attempt.Write("VA 1 Oa2\r\nx\r\n");  // a client that waits for an answer is not silent
-  CHECK(busy.Until("x\r\n") == "VA 1 Oa2\r\nx\r\n");
-  CHECK(busy.Ended());  // closed after its idle time
+  CHECK(busy.ReadUntil("x\r\n") == "VA 1 Oa2\r\nx\r\n");
+  CHECK(busy.PeerClosed());  // closed after its idle time
 }
 
 // Guards against silent connections that fill the table: clients that send commands are still served.
 TEST_CASE("silent clients are evicted from a full table for one that sends a command") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"), 40);  // 15 places
+  Router router(ServerEntryJson("s1", server.address(), "in_service"), 40);  // 15 places
   std::vector<Fd> silent;
   for (int i = 0; i < 40; ++i) silent.push_back(router.Connect());
   Fd client = router.Connect();
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
   REQUIRE(::kill(router.process.pid, SIGUSR1) == 0);
-  CHECK_FALSE(router.process.err.Until(" made_way=").empty());
-  CHECK(router.process.err.Until(" ") != "0 ");
+  CHECK_FALSE(router.process.err.ReadUntil(" made_way=").empty());
+  CHECK(router.process.err.ReadUntil(" ") != "0 ");
 }
 
 // Guards against clients that open a new connection for each command and keep them all.
@@ -226,12 +226,12 @@
   for (int i = 0; i < 12; ++i) {
     clients.push_back(router.Connect());
     clients.back().Write("mn\r\n");
-    CHECK(clients.back().Line() == "MN\r\n");
+    CHECK(clients.back().ReadLine() == "MN\r\n");
   }
-  CHECK(clients.front().Ended());
+  CHECK(clients.front().PeerClosed());
   REQUIRE(::kill(router.process.pid, SIGUSR1) == 0);
-  CHECK(router.process.err.Until(" made_way=").size() > 0);
-  CHECK(router.process.err.Until(" ") != "0 ");  // evicted, not closed after its idle time
+  CHECK(router.process.err.ReadUntil(" made_way=").size() > 0);
+  CHECK(router.process.err.ReadUntil(" ") != "0 ");  // evicted, not closed after its idle time
 }
 
 // Guards against the rule above being applied to ordinary clients: a third of their connections would be
@@ -243,13 +243,13 @@
     clients.push_back(router.Connect());
     for (int command = 0; command < 2; ++command) {
       clients.back().Write("mn\r\n");
-      CHECK(clients.back().Line() == "MN\r\n");
+      CHECK(clients.back().ReadLine() == "MN\r\n");
     }
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(200));  // past Limits::brief
+  std::this_thread::sleep_for(std::chrono::milliseconds(200));  // past Limits::min_client_idle
   for (Fd& client : clients) {
     client.Write("mn\r\n");
-    CHECK(client.Line() == "MN\r\n");
+    CHECK(client.ReadLine() == "MN\r\n");
   }
 }
 
@@ -259,206 +259,210 @@
   for (int i = 0; i < 12; ++i) {
     clients.push_back(router.Connect());
     clients.back().Write("mn\r\n");
-    CHECK(clients.back().Line() == "MN\r\n");
+    CHECK(clients.back().ReadLine() == "MN\r\n");
     if (i == 0) clients[0].Write("m");
   }
-  CHECK(clients[1].Ended());  // idle for longest
+  CHECK(clients[1].PeerClosed());  // idle for longest
   clients[0].Write("n\r\n");
-  CHECK(clients[0].Line() == "MN\r\n");
+  CHECK(clients[0].ReadLine() == "MN\r\n");
 }
 
 // Guards against bytes after an answer, which would be parsed as the next answer on that connection.
 TEST_CASE("bytes sent after an answer, at once or later, affect no other attempt") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd first = server.Accept();
-  first.Line();
+  first.ReadLine();
   first.Write("VA 1 Oa1\r\nx\r\nVA 1 Oa1\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
-  CHECK(first.Ended());
-  client.Write(Read("k", "a2"));
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");
+  CHECK(first.PeerClosed());
+  client.Write(ReadCommand("k", "a2"));
   Fd second = server.Accept();
-  second.Line();
+  second.ReadLine();
   second.Write("VA 1 Oa2\r\ny\r\n");
-  CHECK(client.Until("y\r\n") == "VA 1 Oa2\r\ny\r\n");
+  CHECK(client.ReadUntil("y\r\n") == "VA 1 Oa2\r\ny\r\n");
   second.Write("noise");  // while it is idle
-  CHECK(second.Ended());
-  client.Write(Read("k", "a3"));
+  CHECK(second.PeerClosed());
+  client.Write(ReadCommand("k", "a3"));
   Fd third = server.Accept();
-  CHECK(third.Line().starts_with("mg k v Oa3"));
+  CHECK(third.ReadLine().starts_with("mg k v Oa3"));
   third.Write("VA 1 Oa3\r\nz\r\n");
-  CHECK(client.Until("z\r\n") == "VA 1 Oa3\r\nz\r\n");
+  CHECK(client.ReadUntil("z\r\n") == "VA 1 Oa3\r\nz\r\n");
 }
 
 TEST_CASE("an answer that stops half-way is given up long before the request's deadline") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   attempt.Write("VA 90 Oa1\r\nshort\r\n");
-  CHECK(attempt.Ended());
+  CHECK(attempt.PeerClosed());
   Fd again = server.Accept();  // it is the key's home
-  CHECK(again.Line().starts_with("mg k v Oa1"));
+  CHECK(again.ReadLine().starts_with("mg k v Oa1"));
   again.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");
 }
 
 TEST_CASE("a new server at a known address is not reached over the old server's connections") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd old = server.Accept();
-  old.Line();
+  old.ReadLine();
   old.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
-  discovery.Write(Http(List(2, true, Target("s2", server.address(), "in_service"))));
-  CHECK(old.Ended());
-  client.Write(Read("k", "a2"));
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");
+  discovery.Write(
+      HttpResponse(ServerListJson(2, true, ServerEntryJson("s2", server.address(), "in_service"))));
+  CHECK(old.PeerClosed());
+  client.Write(ReadCommand("k", "a2"));
   Fd fresh = server.Accept();
-  CHECK(fresh.Line().starts_with("mg k v Oa2"));
+  CHECK(fresh.ReadLine().starts_with("mg k v Oa2"));
   fresh.Write("VA 1 Oa2\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa2\r\nx\r\n");
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa2\r\nx\r\n");
   ReadCallHead(discovery);
-  discovery.Write(Http(List(3, false, Target("s2", server.address(), "in_service", 1000))));  // restarted
-  CHECK(fresh.Ended());
+  discovery.Write(HttpResponse(
+      ServerListJson(3, false, ServerEntryJson("s2", server.address(), "in_service", 1000))));  // restarted
+  CHECK(fresh.PeerClosed());
 }
 
 TEST_CASE("a server that moves is reached at its new address, even if it moved during an attempt") {
   Listener before, after;
-  Router router(Target("s1", before.address(), "in_service"));
+  Router router(ServerEntryJson("s1", before.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = before.Accept();
-  attempt.Line();
-  discovery.Write(Http(List(2, false, Target("s1", after.address(), "in_service"))));
+  attempt.ReadLine();
+  discovery.Write(
+      HttpResponse(ServerListJson(2, false, ServerEntryJson("s1", after.address(), "in_service"))));
   ReadCallHead(discovery);
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
-  client.Write(Read("k", "a2"));
-  CHECK(after.Accept().Line().starts_with("mg k v Oa2"));
-  CHECK(attempt.Ended());  // nothing was sent on the old connection
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");
+  client.Write(ReadCommand("k", "a2"));
+  CHECK(after.Accept().ReadLine().starts_with("mg k v Oa2"));
+  CHECK(attempt.PeerClosed());  // nothing was sent on the old connection
 }
 
 // Guards against idle connections of one pool that lock out the other: the origin is reached although
 // connections to cache servers fill the budget.
 TEST_CASE("idle connections of any pool are closed for an attempt") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"), 8);  // 4 connections a side, 3 requests
+  Router router(ServerEntryJson("s1", server.address(), "in_service"),
+                8);  // 4 connections a side, 3 requests
   Fd client = router.Connect();
   std::vector<Fd> kept;
-  client.Write(Read("k0", "a0") + Read("k1", "a1") + Read("k2", "a2"));
+  client.Write(ReadCommand("k0", "a0") + ReadCommand("k1", "a1") + ReadCommand("k2", "a2"));
   for (int i = 0; i < 3; ++i) kept.push_back(server.Accept());
   for (Fd& attempt : kept) {
-    const std::string line = attempt.Line();
+    const std::string line = attempt.ReadLine();
     attempt.Write("EN " + line.substr(line.find(" Oa") + 1, 3) + "\r\n");
   }
   for (int i = 0; i < 3; ++i) {  // three idle, one free: two of the three are closed
     kept.push_back(router.origin.Accept());
-    CHECK(kept.back().Until("\r\n\r\n").starts_with("GET /k"));
+    CHECK(kept.back().ReadUntil("\r\n\r\n").starts_with("GET /k"));
   }
-  for (int i = 3; i < 6; ++i) kept[static_cast<std::size_t>(i)].Write(Http("x"));
-  for (int i = 0; i < 3; ++i) CHECK(client.Until("\r\nx\r\n").starts_with("VA 1 Oa"));
+  for (int i = 3; i < 6; ++i) kept[static_cast<std::size_t>(i)].Write(HttpResponse("x"));
+  for (int i = 0; i < 3; ++i) CHECK(client.ReadUntil("\r\nx\r\n").starts_with("VA 1 Oa"));
 }
 
 TEST_CASE("a bad answer fails its attempt and closes the connection; a second one moves the request") {
   Listener servers[2];
-  Router router(Target("s0", servers[0].address(), "in_service") + "," +
-                Target("s1", servers[1].address(), "in_service"));
+  Router router(ServerEntryJson("s0", servers[0].address(), "in_service") + "," +
+                ServerEntryJson("s1", servers[1].address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   const std::size_t first = FirstConnected({&servers[0], &servers[1]});
   Fd attempt = servers[first].Accept();
-  attempt.Line();
+  attempt.ReadLine();
   attempt.Write("VA 1 Osomebody-else\r\nx\r\n");
-  CHECK(attempt.Ended());
+  CHECK(attempt.PeerClosed());
   Fd again = servers[first].Accept();  // the key's home is tried once more
-  CHECK(again.Line().starts_with("mg k v Oa1"));
+  CHECK(again.ReadLine().starts_with("mg k v Oa1"));
   again.Write("noise\r\n");
   Fd second = servers[1 - first].Accept();
-  CHECK(second.Line().starts_with("mg k v Oa1"));
+  CHECK(second.ReadLine().starts_with("mg k v Oa1"));
   second.Write("VA 1 Oa1\r\ny\r\n");
-  CHECK(client.Line() == "VA 1 Oa1\r\n");
+  CHECK(client.ReadLine() == "VA 1 Oa1\r\n");
 }
 
 TEST_CASE("when a client closes, its attempts are closed") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   client.Close();
-  CHECK(attempt.Ended());
+  CHECK(attempt.PeerClosed());
 }
 
 TEST_CASE("SIGTERM: accepted requests are answered, idle connections close, and the exit status is 0") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd idle = router.Connect(), busy = router.Connect(), fresh = router.Connect();
   idle.Write("mn\r\n");
-  CHECK(idle.Line() == "MN\r\n");
-  busy.Write(Read("k", "a1"));
+  CHECK(idle.ReadLine() == "MN\r\n");
+  busy.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
-  CHECK(idle.Ended());
+  CHECK(idle.PeerClosed());
   fresh.Write("mn\r\n");  // not used before: kept open, because its first command may be in transit
-  CHECK(fresh.Line() == "MN\r\n");
-  CHECK(fresh.Ended());
+  CHECK(fresh.ReadLine() == "MN\r\n");
+  CHECK(fresh.PeerClosed());
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(busy.Line() == "VA 1 Oa1\r\n");
-  CHECK(busy.Line() == "x\r\n");
-  CHECK(busy.Ended());
-  const std::string log = router.process.err.Until("served=1 ");
+  CHECK(busy.ReadLine() == "VA 1 Oa1\r\n");
+  CHECK(busy.ReadLine() == "x\r\n");
+  CHECK(busy.PeerClosed());
+  const std::string log = router.process.err.ReadUntil("served=1 ");
   CHECK_FALSE(log.empty());
   CHECK(router.process.Wait() == 0);
 }
 
 TEST_CASE("SIGHUP: discovery moves at once with a request for the whole list, and open requests continue") {
   Listener server, later, elsewhere;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd old = router.discovery.Accept();
   ReadCallHead(old);
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  attempt.Line();
+  attempt.ReadLine();
   // Each is refused with one log line, and the old watch continues.
   for (const std::string& bad : {std::string("{ not JSON"), std::string(1000000, '[')}) {
     router.process.Reload(bad);
-    CHECK_FALSE(router.process.err.Until("configuration kept as it was").empty());
+    CHECK_FALSE(router.process.err.ReadUntil("configuration kept as it was").empty());
   }
-  old.Write(Http(List(2, false, "")));
+  old.Write(HttpResponse(ServerListJson(2, false, "")));
   CHECK(ReadCallHead(old).starts_with("GET /api/targets?since=2&"));
   // PROXY_DISCOVERY still names the old address. The call to the new one is never answered.
   router.process.Reload(Router::Config(elsewhere.address(), ""));
   Fd passing = elsewhere.Accept();
   CHECK(ReadCallHead(passing).starts_with("GET /api/targets HTTP/1.1\r\n"));
-  CHECK(old.Ended());
+  CHECK(old.PeerClosed());
   router.process.Reload(Router::Config(later.address(), ""));  // again, during that call
   Fd fresh = later.Accept();
   CHECK(ReadCallHead(fresh).starts_with("GET /api/targets HTTP/1.1\r\n"));
-  fresh.Write(Http(List(3, true, Target("s1", server.address(), "in_service"))));
+  fresh.Write(HttpResponse(ServerListJson(3, true, ServerEntryJson("s1", server.address(), "in_service"))));
   CHECK(ReadCallHead(fresh).starts_with("GET /api/targets?since=3&"));
-  CHECK(passing.Ended());
+  CHECK(passing.PeerClosed());
   attempt.Write("VA 1 Oa1\r\nx\r\n");
-  CHECK(client.Until("x\r\n") == "VA 1 Oa1\r\nx\r\n");
+  CHECK(client.ReadUntil("x\r\n") == "VA 1 Oa1\r\nx\r\n");
   Fd busy = router.Connect();
-  busy.Write(Read("k", "a2"));
-  attempt.Line();
+  busy.Write(ReadCommand("k", "a2"));
+  attempt.ReadLine();
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
   router.process.Reload(Router::Config(elsewhere.address(), ""));  // during the shutdown
   attempt.Write("VA 1 Oa2\r\nx\r\n");
-  CHECK(busy.Until("x\r\n") == "VA 1 Oa2\r\nx\r\n");
+  CHECK(busy.ReadUntil("x\r\n") == "VA 1 Oa2\r\nx\r\n");
   CHECK(router.process.Wait() == 0);
 }
 
@@ -470,14 +474,15 @@
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
   ReadCallHead(watch);
-  watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
+  watch.Write(HttpResponse(ServerListJson(7, true, ServerEntryJson("s1", server.address(), "in_service"))));
   CHECK(ReadCallHead(watch).starts_with("GET /api/targets?since=7&"));
   Fd reopened = discovery.Accept();  // the first one was not answered
-  CHECK(watch.Ended());
+  CHECK(watch.PeerClosed());
   CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=7&"));
-  reopened.Write(Http(List(8, false, Target("s1", server.address(), "terminating"))));
+  reopened.Write(
+      HttpResponse(ServerListJson(8, false, ServerEntryJson("s1", server.address(), "terminating"))));
   CHECK(ReadCallHead(reopened).starts_with("GET /api/targets?since=8&"));
-  CHECK_FALSE(process.err.Until("s1 at " + server.address() + " is terminating").empty());
+  CHECK_FALSE(process.err.ReadUntil("s1 at " + server.address() + " is terminating").empty());
 }
 
 // Guards against an update that discovery has written and its connection has lost: discovery counts it as
@@ -488,7 +493,8 @@
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
   ReadCallHead(watch);
-  const std::string list = Http(List(7, true, Target("s1", server.address(), "in_service")));
+  const std::string list =
+      HttpResponse(ServerListJson(7, true, ServerEntryJson("s1", server.address(), "in_service")));
   watch.Write(list);
   for (const std::string& begun : {std::string(), list.substr(0, list.size() / 2)}) {
     ReadCallHead(watch);
@@ -509,7 +515,7 @@
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
   ReadCallHead(watch);
-  watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
+  watch.Write(HttpResponse(ServerListJson(7, true, ServerEntryJson("s1", server.address(), "in_service"))));
   ReadCallHead(watch);
   watch.Close();
   Fd reopened = discovery.Accept();
@@ -526,12 +532,12 @@
   process.Reload(LargeFleetConfig(discovery.address()));
   Fd watch = discovery.Accept();
   ReadCallHead(watch);
-  watch.Write(Http(List(7, true, Target("s1", server.address(), "in_service"))));
+  watch.Write(HttpResponse(ServerListJson(7, true, ServerEntryJson("s1", server.address(), "in_service"))));
   ReadCallHead(watch);
   const rlimit none{3, 256}, enough{256, 256};
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &none, nullptr) == 0);
   watch.Close();
-  CHECK_FALSE(process.err.Until("cannot connect").empty());
+  CHECK_FALSE(process.err.ReadUntil("cannot connect").empty());
   REQUIRE(::prlimit(process.pid, RLIMIT_NOFILE, &enough, nullptr) == 0);
   Fd reopened = discovery.Accept();
   // Not delayed like a refusal, after which the next call would be a watch that waits for changes.
@@ -541,19 +547,20 @@
 TEST_CASE(
     "a full table: idle clients are evicted, and requests beyond the limit are refused with a delay") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"), 40);  // 15 connections a side, 14 requests
+  Router router(ServerEntryJson("s1", server.address(), "in_service"),
+                40);  // 15 connections a side, 14 requests
   std::vector<Fd> clients;
   for (int i = 0; i < 30; ++i) {
     clients.push_back(router.Connect());
     clients.back().Write("mn\r\n");
-    CHECK(clients.back().Line() == "MN\r\n");
+    CHECK(clients.back().ReadLine() == "MN\r\n");
   }
-  CHECK(clients.front().Ended());  // idle for longest
+  CHECK(clients.front().PeerClosed());  // idle for longest
   int number = 0;
   const auto ask = [&](Fd& s, int requests) {
     std::string all;
     for (int i = 0; i < requests; ++i, ++number) {
-      all += Read("k" + std::to_string(number), "a" + std::to_string(number));
+      all += ReadCommand("k" + std::to_string(number), "a" + std::to_string(number));
     }
     s.Write(all);
   };
@@ -566,54 +573,55 @@
   std::size_t first = 0;
   for (std::size_t i = 0; i < 14; ++i) {  // each open request has its connection
     attempts.push_back(server.Accept());
-    const std::string line = attempts.back().Line();
+    const std::string line = attempts.back().ReadLine();
     CHECK(line.find(" Oa4 ") == std::string::npos);
     if (line.find(" Oa0 ") != std::string::npos) first = i;
   }
   ask(last[-4], 1);
-  CHECK(last[-4].Line() == "SERVER_ERROR busy 500\r\n");
+  CHECK(last[-4].ReadLine() == "SERVER_ERROR busy 500\r\n");
   attempts[first].Write("VA 1 Oa0\r\nx\r\n");
-  CHECK(last[0].Until("x\r\n") == "VA 1 Oa0\r\nx\r\n");
-  CHECK(attempts[first].Line().find(" Oa4 ") != std::string::npos);
+  CHECK(last[0].ReadUntil("x\r\n") == "VA 1 Oa0\r\nx\r\n");
+  CHECK(attempts[first].ReadLine().find(" Oa4 ") != std::string::npos);
 }
 
 TEST_CASE("counters on SIGUSR1") {
   Router router("");
   Fd client = router.Connect();
   client.Write("mn\r\nwhat\r\n");
-  CHECK(client.Line() == "MN\r\n");
-  CHECK(client.Line() == "ERROR\r\n");
+  CHECK(client.ReadLine() == "MN\r\n");
+  CHECK(client.ReadLine() == "ERROR\r\n");
   REQUIRE(::kill(router.process.pid, SIGUSR1) == 0);
-  CHECK(router.process.err.Until("clients=1 requests_in=0 turned_away=0 bad_commands=1 ").size() > 0);
-  CHECK(router.process.err.Until("; now open: requests=0 clients=1 server_connections=0\n").size() > 0);
+  CHECK(router.process.err.ReadUntil("clients=1 requests_in=0 turned_away=0 bad_commands=1 ").size() > 0);
+  CHECK(router.process.err.ReadUntil("; now open: requests=0 clients=1 server_connections=0\n").size() > 0);
 }
 
 TEST_CASE("a bad server list is refused as a whole and logged, and the old one stays in use") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
-  discovery.Write(Http(List(2, true, R"({"uid":"s9","state":"dozing"})")));
-  CHECK_FALSE(router.process.err.Until("server list refused").empty());
+  discovery.Write(HttpResponse(ServerListJson(2, true, R"({"uid":"s9","state":"dozing"})")));
+  CHECK_FALSE(router.process.err.ReadUntil("server list refused").empty());
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1"));
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1"));
 }
 
 TEST_CASE("changes older than the held list have no effect, and the whole list is requested") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd discovery = router.discovery.Accept();
   ReadCallHead(discovery);
-  discovery.Write(Http(List(0, false, Target("s1", server.address(), "terminated"))));
-  CHECK_FALSE(router.process.err.Until("changes of version 0, older than what is held").empty());
+  discovery.Write(
+      HttpResponse(ServerListJson(0, false, ServerEntryJson("s1", server.address(), "terminated"))));
+  CHECK_FALSE(router.process.err.ReadUntil("changes of version 0, older than what is held").empty());
   Fd again = router.discovery.Accept();
   CHECK(ReadCallHead(again).starts_with("GET /api/targets HTTP"));
   Fd client = router.Connect();
-  client.Write(Read("k", "a1"));
+  client.Write(ReadCommand("k", "a1"));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k v Oa1"));
+  CHECK(attempt.ReadLine().starts_with("mg k v Oa1"));
 }
 
 TEST_CASE("a bad configuration ends the program with one line of output") {
@@ -627,14 +635,14 @@
 
 TEST_CASE("a large value is streamed to its client, even if that takes longer than the request's time") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("big", "a1", 3000));
+  client.Write(ReadCommand("big", "a1", 3000));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg big v Oa1"));
-  const std::size_t size = 300000;  // more than Limits::value, so it is streamed
+  CHECK(attempt.ReadLine().starts_with("mg big v Oa1"));
+  const std::size_t size = 300000;  // more than Limits::max_value, so it is streamed
   attempt.Write("VA " + std::to_string(size) + " Oa1\r\n" + std::string(1000, 'x'));
-  CHECK(client.Line() == "VA " + std::to_string(size) + " Oa1\r\n");  // before the rest is sent
+  CHECK(client.ReadLine() == "VA " + std::to_string(size) + " Oa1\r\n");  // before the rest is sent
   CHECK(client.ReadExactly(1000) == std::string(1000, 'x'));
   for (std::size_t sent = 1000; sent < size; sent += 49900) {
     std::this_thread::sleep_for(std::chrono::milliseconds(300));  // longer in total than the request's time
@@ -643,19 +651,19 @@
   attempt.Write("\r\n");
   CHECK(client.ReadExactly(size - 1000 + 2) == std::string(size - 1000, 'y') + "\r\n");
   client.Write("mn\r\n");
-  CHECK(client.Line() == "MN\r\n");  // the connection stays usable
+  CHECK(client.ReadLine() == "MN\r\n");  // the connection stays usable
 }
 
 TEST_CASE("if a server breaks off a large value, its client's connection ends where the value stops") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd client = router.Connect();
-  client.Write(Read("big2", "a2", 3000));
+  client.Write(ReadCommand("big2", "a2", 3000));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg big2 v Oa2"));
+  CHECK(attempt.ReadLine().starts_with("mg big2 v Oa2"));
   attempt.Write("VA 300000 Oa2\r\n" + std::string(5000, 'z'));
-  CHECK(client.Line() == "VA 300000 Oa2\r\n");
+  CHECK(client.ReadLine() == "VA 300000 Oa2\r\n");
   CHECK(client.ReadExactly(5000) == std::string(5000, 'z'));
   attempt.Close();  // no second answer follows: the client can tell that the value is incomplete
-  CHECK(client.Ended());
+  CHECK(client.PeerClosed());
 }
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -24,27 +24,27 @@
 // answer, and those that have not sent a command yet, stay open after the listener is closed.
 TEST_CASE("SIGTERM: a command read after the last moment for new work is refused and reaches no server") {
   Listener server;
-  Router router(Target("s1", server.address(), "in_service"));
+  Router router(ServerEntryJson("s1", server.address(), "in_service"));
   Fd waiting = router.Connect(), fresh = router.Connect();
-  waiting.Write(Read("k1", "a1"));
+  waiting.Write(ReadCommand("k1", "a1"));
   Fd attempt = server.Accept();
-  CHECK(attempt.Line().starts_with("mg k1 v Oa1"));  // never answered
+  CHECK(attempt.ReadLine().starts_with("mg k1 v Oa1"));  // never answered
   const auto begun = std::chrono::steady_clock::now();
   REQUIRE(::kill(router.process.pid, SIGTERM) == 0);
-  CHECK_FALSE(router.process.err.Until(" stops; ").empty());
+  CHECK_FALSE(router.process.err.ReadUntil(" stops; ").empty());
   std::this_thread::sleep_for(800ms);  // past the last moment for new work; a longer sleep does no harm
-  waiting.Write(Read("k2", "a2") + PublishCommand("p", "a3", "body"));
-  fresh.Write(Read("k4", "a4"));
-  CHECK(fresh.Line().starts_with("SERVER_ERROR busy"));
-  CHECK(fresh.Ended());
+  waiting.Write(ReadCommand("k2", "a2") + PublishCommand("p", "a3", "body"));
+  fresh.Write(ReadCommand("k4", "a4"));
+  CHECK(fresh.ReadLine().starts_with("SERVER_ERROR busy"));
+  CHECK(fresh.PeerClosed());
   CHECK_FALSE(IsConnectedTo(server));
   CHECK_FALSE(IsConnectedTo(router.origin));
   // A request accepted in time is answered before the process may be killed, long before its own deadline.
-  CHECK(waiting.Line().starts_with("SERVER_ERROR "));
-  CHECK(waiting.Line().starts_with("SERVER_ERROR busy"));
-  CHECK(waiting.Line().starts_with("SERVER_ERROR busy"));
-  CHECK(waiting.Ended());
-  CHECK(router.process.err.Until("\n", " counters: ").find(" violations=0\n") != std::string::npos);
+  CHECK(waiting.ReadLine().starts_with("SERVER_ERROR "));
+  CHECK(waiting.ReadLine().starts_with("SERVER_ERROR busy"));
+  CHECK(waiting.ReadLine().starts_with("SERVER_ERROR busy"));
+  CHECK(waiting.PeerClosed());
+  CHECK(router.process.err.ReadUntil("\n", " counters: ").find(" violations=0\n") != std::string::npos);
   CHECK(router.process.Wait() == 0);
   CHECK(std::chrono::steady_clock::now() - begun < 6s);
 }
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -134,14 +134,14 @@
 TEST_CASE("a router restarts from its snapshot, suspensions included, while discovery does not answer") {
   StateFolder state;
   Listener discovery, silent, node, other;
-  const std::string list =
-      Target("s1", node.address(), "in_service") + "," + Target("s2", other.address(), "in_service");
+  const std::string list = ServerEntryJson("s1", node.address(), "in_service") + "," +
+                           ServerEntryJson("s2", other.address(), "in_service");
   {
     Process first = Start(Router::Config(discovery.address(), list), discovery.address(),
                           {"BRASSWOOD_STATE=" + state.settings});
     Fd watch = discovery.Accept();
     ReadCallHead(watch);
-    watch.Write(Http(List(7, true, list)));
+    watch.Write(HttpResponse(ServerListJson(7, true, list)));
     ReadCallHead(watch);
     const Snapshot stored = state.Await(7);
     CHECK(stored.list.entries.size() == 2);
@@ -163,13 +163,13 @@
   REQUIRE(::connect(client.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   for (int i = 0; i < 4; ++i) {
     const std::string id = "a" + std::to_string(i);
-    client.Write(Read("key" + std::to_string(i), id));
+    client.Write(ReadCommand("key" + std::to_string(i), id));
     REQUIRE(FirstConnected({&node, &other}) == 0);  // never the suspended server
     Fd attempt = node.Accept();
-    CHECK(attempt.Line().starts_with("mg key" + std::to_string(i)));
+    CHECK(attempt.ReadLine().starts_with("mg key" + std::to_string(i)));
     attempt.Write("VA 1 O" + id + "\r\nx\r\n");
-    CHECK(client.Line() == "VA 1 O" + id + "\r\n");
-    CHECK(client.Line() == "x\r\n");
+    CHECK(client.ReadLine() == "VA 1 O" + id + "\r\n");
+    CHECK(client.ReadLine() == "x\r\n");
   }
   // Discovery has not confirmed its list, so it does not overwrite the snapshot.
   CHECK(state.Await(7).suspended == std::set<std::string>{"s2"});
@@ -186,7 +186,7 @@
     std::ofstream(state.file() + ".1", std::ios::trunc) << older;
     const Process p = Start(Router::Config(discovery.address(), ""), discovery.address(),
                             {"BRASSWOOD_STATE=" + state.settings});
-    return p.said.find(expected) != std::string::npos && !p.listen.empty();
+    return p.startup_log.find(expected) != std::string::npos && !p.listen.empty();
   };
   const std::string valid = EncodeSnapshot(s);
   s.router = "n2";
@@ -213,7 +213,8 @@
     }
     s.module_state.keys.clear();
     for (std::uint64_t k = 0; k < keys; ++k) {
-      s.module_state.keys.push_back({k * 0x9e3779b97f4a7c15u, {static_cast<beechledge::ServerId>(k % 200)}});
+      s.module_state.keys.push_back(
+          {k * 0x9e3779b97f4a7c15u, {static_cast<beechledge::ServerId>(k % 200)}});
     }
     const auto now = [] { return std::chrono::steady_clock::now(); };
     const auto ms = [](auto d) { return std::chrono::duration<double, std::milli>(d).count(); };
--- a/tests/net/world.h
+++ b/tests/net/world.h
@@ -47,7 +47,7 @@
     REQUIRE(::send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
   // Reads up to and including `end`; empty if the peer closes first.
-  std::string Until(const std::string& end) {
+  std::string ReadUntil(const std::string& end) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTimeoutMs);
     for (;;) {
       const std::size_t at = read_.find(end);
@@ -59,17 +59,17 @@
     }
   }
   // The first piece, each ended by `end`, that contains `what`.
-  std::string Until(const std::string& end, const std::string& what) {
-    std::string piece = Until(end);
-    while (!piece.empty() && piece.find(what) == piece.npos) piece = Until(end);
+  std::string ReadUntil(const std::string& end, const std::string& what) {
+    std::string piece = ReadUntil(end);
+    while (!piece.empty() && piece.find(what) == piece.npos) piece = ReadUntil(end);
     return piece;
   }
-  std::string Line() { return Until("\r\n"); }
+  std::string ReadLine() { return ReadUntil("\r\n"); }
   std::string ReadExactly(std::size_t n) {
     while (read_.size() < n) REQUIRE(Receive());
     return Consume(n);
   }
-  bool Ended() {  // whether the peer closes without sending anything before
+  bool PeerClosed() {  // whether the peer closes without sending anything before
     while (Receive()) {
     }
     return read_.empty();
@@ -136,49 +136,50 @@
   return 0;
 }
 
-inline std::string Target(const std::string& uid, const std::string& endpoint, const std::string& state,
-                          long long boot_ms = 0, const std::string& model = "m1") {
+inline std::string ServerEntryJson(const std::string& uid, const std::string& endpoint,
+                                   const std::string& state, long long boot_ms = 0,
+                                   const std::string& model = "m1") {
   return R"({"uid":")" + uid + R"(","endpoint":")" + endpoint + R"(","az":"a","model":")" + model +
          R"(","pod_group":0,"state":")" + state + R"(","capacity_hint":1.0,"boot_ms":)" +
          std::to_string(boot_ms) + "}";
 }
 
-inline std::string List(int rev, bool all, const std::string& targets) {
+inline std::string ServerListJson(int rev, bool all, const std::string& targets) {
   return R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (all ? "true" : "false") + R"(,"targets":[)" +
          targets + "]}";
 }
 
-inline std::string Http(const std::string& body, const std::string& status = "200 OK",
-                        const std::string& more = "") {
+inline std::string HttpResponse(const std::string& body, const std::string& status = "200 OK",
+                                const std::string& more = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more +
          "\r\n" + body;
 }
 
 // Reads the head of a call to discovery, which is not answered yet.
-inline std::string ReadCallHead(Fd& discovery) { return discovery.Until("\r\n\r\n"); }
+inline std::string ReadCallHead(Fd& discovery) { return discovery.ReadUntil("\r\n\r\n"); }
 
 struct Process {
   pid_t pid = -1;
   Fd err;
-  std::string listen;  // the address for clients, or the error line of a failed start
-  std::string door;    // the address of the admin interface, if it has one
-  std::string path;    // the configuration file
-  std::string said;    // the log up to the line that reports the address for clients
+  std::string listen;         // the address for clients, or the error line of a failed start
+  std::string admin_address;  // the address of the admin interface, if it has one
+  std::string path;           // the configuration file
+  std::string startup_log;    // the log up to the line that reports the address for clients
   Process() = default;
   Process(Process&& o) noexcept
       : pid(std::exchange(o.pid, -1)),
         err(std::move(o.err)),
         listen(std::move(o.listen)),
-        door(std::move(o.door)),
+        admin_address(std::move(o.admin_address)),
         path(std::exchange(o.path, {})),
-        said(std::move(o.said)) {}
+        startup_log(std::move(o.startup_log)) {}
   Process& operator=(Process&& o) noexcept {
     std::swap(pid, o.pid);
     std::swap(err, o.err);
     std::swap(listen, o.listen);
-    std::swap(door, o.door);
+    std::swap(admin_address, o.admin_address);
     std::swap(path, o.path);
-    std::swap(said, o.said);
+    std::swap(startup_log, o.startup_log);
     return *this;
   }
   void Reload(const std::string& config) const {
@@ -224,10 +225,10 @@
 
 // Reads the log until the program listens, or reports why it does not start.
 inline void AwaitStart(Process& p) {
-  for (std::string line = p.err.Until("\n"); !line.empty(); line = p.err.Until("\n")) {
-    p.said += line;
+  for (std::string line = p.err.ReadUntil("\n"); !line.empty(); line = p.err.ReadUntil("\n")) {
+    p.startup_log += line;
     if (const std::size_t door = line.find("operators' door on "); door != line.npos) {
-      p.door = line.substr(door + 19, line.size() - door - 20);
+      p.admin_address = line.substr(door + 19, line.size() - door - 20);
     }
     const std::size_t at = line.find("listens on ");
     if (at != line.npos) {
@@ -278,7 +279,7 @@
                               R"("window":5000000000)";
     return R"({"name":"n1","listen":"127.0.0.1:0","discovery":")" + discovery + R"(","seed":"1",)" +
            R"("limits":{"memory_mb":192,"sockets":)" + std::to_string(sockets) + R"(},"known":)" +
-           List(1, true, targets) +
+           ServerListJson(1, true, targets) +
            R"(,"settings":{"balancers":1,"zones":["a"],"shapes":["m1","origin"],"registry_mode":"on_request",)" +
            R"("family_info":{"mode":"aside","origin_kind":1},"classes":[{"name":"read","effect":"free",)" +
            klass + R"(},{"name":"publish","effect":"single_shot",)" + klass + R"(}],)" +
@@ -288,14 +289,14 @@
            R"("ramp_time":60000000000,"fall_multiple":4,"fall":2000000000}}})";
   }
   explicit Router(const std::string& targets, int sockets = 256) {
-    const std::string with_origin =
-        targets + (targets.empty() ? "" : ",") + Target("o1", origin.address(), "in_service", 0, "origin");
+    const std::string with_origin = targets + (targets.empty() ? "" : ",") +
+                                    ServerEntryJson("o1", origin.address(), "in_service", 0, "origin");
     process = Start(Config(discovery.address(), with_origin, sockets), discovery.address());
   }
   Fd Connect() const { return ConnectTo(process.listen); }
 };
 
-inline std::string Read(const std::string& key, const std::string& id, int wait_ms = 9000) {
+inline std::string ReadCommand(const std::string& key, const std::string& id, int wait_ms = 9000) {
   return "mg " + key + " v O" + id + " Pc=read,d=" + std::to_string(wait_ms) + "\r\n";
 }
 inline std::string PublishCommand(const std::string& key, const std::string& id, const std::string& value) {
