--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -113,7 +113,8 @@
       s.Write(WriteGet(config_.discovery, ListPath(std::nullopt, Duration(0))));
       HttpAnswer answer;
       if (!s.Read([&](std::string_view in, std::size_t& used) {
-            return ParseHttpAnswer(in, config_.limits.max_list, config_.limits, InputEnd::kOpen, used, answer);
+            return ParseHttpAnswer(in, config_.limits.max_list, config_.limits, InputEnd::kOpen, used,
+                                   answer);
           })) {
         continue;
       }
@@ -179,7 +180,8 @@
     s.Write(WriteOriginAttempt(origin, request, std::chrono::seconds(1)));
     HttpAnswer answer;
     if (s.Read([&](std::string_view in, std::size_t& used) {
-          return ParseHttpAnswer(in, config_.limits.max_value, config_.limits, InputEnd::kOpen, used, answer);
+          return ParseHttpAnswer(in, config_.limits.max_value, config_.limits, InputEnd::kOpen, used,
+                                 answer);
         })) {
       end = ReadOriginAnswer(std::move(answer), request);
     }
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -264,7 +264,8 @@
   TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
   std::size_t used = 0;
   ClientAnswer answer;
-  const Parsed got = ParseClientAnswer(ContiguousInput(connection.buffer.get()), client_try.id, used, answer);
+  const Parsed got =
+      ParseClientAnswer(ContiguousInput(connection.buffer.get()), client_try.id, used, answer);
   if (got == Parsed::kMore) return;
   if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
   client_try.serial = answer.serial;
--- a/src/admin/operator.cpp
+++ b/src/admin/operator.cpp
@@ -95,12 +95,12 @@
 
 void RouterOperations::Save() {
   disk_->Submit("save",
-             [this, file = file_, change = latest_change_,
-              state = OperatorState{engine_.suspended()}]() -> DiskThread::Completion {
-               std::string error;
-               const bool ok = file->Write(state, error);
-               return [this, change, ok, error] { Saved(change, ok, error); };
-             });
+                [this, file = file_, change = latest_change_,
+                 state = OperatorState{engine_.suspended()}]() -> DiskThread::Completion {
+                  std::string error;
+                  const bool ok = file->Write(state, error);
+                  return [this, change, ok, error] { Saved(change, ok, error); };
+                });
 }
 
 // Logs once when saving begins to fail and once when it works again, however often it is tried in between.
--- a/src/admin/operator.h
+++ b/src/admin/operator.h
@@ -36,9 +36,10 @@
 class RouterOperations : public Operations {
  public:
   // `file` may be null: then the operator state is not stored. All references must outlive this object.
-  RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names, ClientFrontHooks front,
-                   const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-                   std::unique_ptr<OperatorStateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
+  RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names,
+                   ClientFrontHooks front, const Limits& limits, Deadlines& deadlines,
+                   std::function<Time()> now, std::unique_ptr<OperatorStateFile> file,
+                   std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
 
   // Applies the stored state. Call it before the first server list is applied, so that no attempt goes to a
   // suspended server. Waits for the disk for at most `Limits::state_disk_timeout`.
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -16,22 +16,22 @@
 
 // Why a client's connection ended, as seen by the router.
 enum class ClientEndReason : std::size_t {
-  kClosedByClient,      // the client closed it, or the connection failed
-  kIdleTimeout,        // idle for too long
-  kEvicted,       // evicted in favour of another client
-  kCommandTimeout,        // no complete command arrived in time
-  kBadCommand,    // a malformed command: where the next one begins is not known
-  kQuit,          // the client sent `quit`
-  kValueTruncated,      // the rest of a value that was being sent is missing
-  kClientStalled,  // the client did not read its answers, or did not close, in time
-  kDraining,      // operators are draining the router
-  kShutdown,      // the router is shutting down
-  kNoMemory,      // no buffer could be allocated for it
+  kClosedByClient,  // the client closed it, or the connection failed
+  kIdleTimeout,     // idle for too long
+  kEvicted,         // evicted in favour of another client
+  kCommandTimeout,  // no complete command arrived in time
+  kBadCommand,      // a malformed command: where the next one begins is not known
+  kQuit,            // the client sent `quit`
+  kValueTruncated,  // the rest of a value that was being sent is missing
+  kClientStalled,   // the client did not read its answers, or did not close, in time
+  kDraining,        // operators are draining the router
+  kShutdown,        // the router is shutting down
+  kNoMemory,        // no buffer could be allocated for it
   kCount,
 };
-inline constexpr std::array<const char*, static_cast<std::size_t>(ClientEndReason::kCount)> kClientEndReasonNames = {
-    "by_client", "rested",        "made_way",  "silent",   "bad_command", "quit",
-    "value_cut", "takes_nothing", "sent_away", "stopping", "no_memory"};
+inline constexpr std::array<const char*, static_cast<std::size_t>(ClientEndReason::kCount)>
+    kClientEndReasonNames = {"by_client", "rested",        "made_way",  "silent",   "bad_command", "quit",
+                             "value_cut", "takes_nothing", "sent_away", "stopping", "no_memory"};
 
 struct Counters {
   std::uint64_t clients = 0;                          // client connections accepted
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -17,16 +17,17 @@
 
 // The rules. The names below, not those of the enumerators, are printed.
 enum class Invariant : std::size_t {
-  kAnsweredOnce,       // a request has exactly one answer
-  kAnsweredInTime,     // it is answered at most Invariants::kMaxAnswerDelay after its deadline
+  kAnsweredOnce,         // a request has exactly one answer
+  kAnsweredInTime,       // it is answered at most Invariants::kMaxAnswerDelay after its deadline
   kAnsweredBeforeClose,  // neither the client's connection nor the process is closed by the router before
-                       // that
-  kSentInTime,         // an attempt's last byte is sent before its deadline
-  kSentForOpenRequest,        // an attempt is sent only while its request waits for an answer
-  kSentToServingServer,      // no attempt goes to a server that began to drain longer than the grace period ago
-  kOneAttemptAtATime,          // no second attempt while one is in flight, unless the settings allow it
-  kNoDuplicateEffect,     // a request that must not take effect twice is not sent again once it may have run
-  kNoNewWorkAfterDeadline,         // no request is forwarded that was read after a shutdown's deadline for new work
+                         // that
+  kSentInTime,           // an attempt's last byte is sent before its deadline
+  kSentForOpenRequest,   // an attempt is sent only while its request waits for an answer
+  kSentToServingServer,  // no attempt goes to a server that began to drain longer than the grace period ago
+  kOneAttemptAtATime,    // no second attempt while one is in flight, unless the settings allow it
+  kNoDuplicateEffect,    // a request that must not take effect twice is not sent again once it may have run
+  kNoNewWorkAfterDeadline,  // no request is forwarded that was read after a shutdown's deadline for new
+                            // work
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(Invariant::kCount)> kInvariantNames = {
--- a/src/base/poll_times.h
+++ b/src/base/poll_times.h
@@ -27,13 +27,13 @@
     deadline_ = deadline;
     returned_.reset();
   }
-  // The poll has returned. Calls after the first one since Entered are ignored.
+  // The poll has returned. Calls after the first one since PollStarted are ignored.
   void PollReturned(Time at) {
     if (!returned_) returned_ = std::max(at, entered_);
   }
   bool has_returned() const { return returned_.has_value(); }
   Time started() const { return entered_; }
-  // The earliest time at which the data that this poll found can have arrived. Call it after Returned.
+  // The earliest time at which the data that this poll found can have arrived. Call it after PollReturned.
   Time EarliestArrival() const {
     const Time returned = returned_.value_or(entered_);
     if (returned - entered_ < kMinWait) return previous_return_;
--- a/src/base/send_verdict.h
+++ b/src/base/send_verdict.h
@@ -11,15 +11,15 @@
 // Whether an attempt may be sent, or the first reason found why not.
 enum class SendVerdict : std::size_t {
   kAllowed,
-  kRequestEnded,    // the request was answered, or never accepted
-  kClientGone,      // the client has closed its connection
-  kTooLate,         // the request's deadline or its window for repeats has passed
-  kAttemptLimitReached,   // the request has used all attempts that the settings allow
-  kAttemptInFlight,      // another attempt of the request is in flight, and the settings allow one at a time
-  kMayHaveRun,      // the request must not run twice, and an earlier attempt may have run
-  kServerUnknown,   // the server is not listed
-  kServerDraining,  // the server drains or was removed, and half of the grace period is over
-  kServerMoved,     // the connection leads to the server's former address
+  kRequestEnded,         // the request was answered, or never accepted
+  kClientGone,           // the client has closed its connection
+  kTooLate,              // the request's deadline or its window for repeats has passed
+  kAttemptLimitReached,  // the request has used all attempts that the settings allow
+  kAttemptInFlight,  // another attempt of the request is in flight, and the settings allow one at a time
+  kMayHaveRun,       // the request must not run twice, and an earlier attempt may have run
+  kServerUnknown,    // the server is not listed
+  kServerDraining,   // the server drains or was removed, and half of the grace period is over
+  kServerMoved,      // the connection leads to the server's former address
   kCount,
 };
 inline constexpr std::array<const char*, static_cast<std::size_t>(SendVerdict::kCount)> kSendVerdictNames =
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -76,11 +76,11 @@
   limits.max_clients = std::max<std::size_t>(
       4, std::min(sockets_per_side, static_cast<std::size_t>(0.25 * memory / command_bytes)));
   limits.max_idle_clients = std::max<std::size_t>(8, static_cast<std::size_t>(sockets / 12));
-  limits.max_idle_reused_clients =
-      std::max(limits.max_idle_clients, std::min(static_cast<std::size_t>(sockets / 4), limits.max_clients / 2));
+  limits.max_idle_reused_clients = std::max(
+      limits.max_idle_clients, std::min(static_cast<std::size_t>(sockets / 4), limits.max_clients / 2));
   const double unsent_per_client = 0.14 * memory / static_cast<double>(limits.max_clients);
-  limits.max_unsent = static_cast<std::size_t>(
-      std::clamp(unsent_per_client, static_cast<double>(limits.max_line), static_cast<double>(limits.max_unsent)));
+  limits.max_unsent = static_cast<std::size_t>(std::clamp(
+      unsent_per_client, static_cast<double>(limits.max_line), static_cast<double>(limits.max_unsent)));
   // 5% fewer requests than connections on either side, so that each request finds a connection to a server,
   // and a client that connects while the maximum of requests is open is accepted and refused instead of
   // waiting in the kernel's queue.
@@ -97,23 +97,27 @@
   // Where a handshake has a price they are kept for 90%: with many servers the next attempt to any one of
   // them usually comes late in that time.
   if (settings.conn_idle > Duration(0))
-    limits.server_connection_idle_timeout = settings.conn_idle * (settings.module.prices.handshake > 0 ? 9 : 6) / 10;
+    limits.server_connection_idle_timeout =
+        settings.conn_idle * (settings.module.prices.handshake > 0 ? 9 : 6) / 10;
   if (settings.module.allowed.retry_after) limits.max_retry_after = settings.module.allowed.max_retry_after;
   Duration longest_deadline{0};
   Duration longest_aim{0};
   for (const auto& request_class : settings.module.classes)
     longest_aim = std::max(longest_aim, Duration(request_class.aim));
   // An answer that stalls is given up early enough for another attempt to be in time.
-  if (longest_aim > Duration(0)) limits.answer_stall_timeout = std::min(limits.answer_stall_timeout, longest_aim / 8);
+  if (longest_aim > Duration(0))
+    limits.answer_stall_timeout = std::min(limits.answer_stall_timeout, longest_aim / 8);
   for (const auto& request_class : settings.module.classes) {
     longest_deadline = std::max(longest_deadline, Duration(request_class.deadline));
-    if (request_class.stream) limits.answer_stall_timeout = limits.max_deadline;  // it is sent while it is generated
+    if (request_class.stream)
+      limits.answer_stall_timeout = limits.max_deadline;  // it is sent while it is generated
   }
   if (longest_deadline > Duration(0)) limits.default_deadline = longest_deadline;
   // A process that was asked to stop may be killed after the longest deadline (at most
   // kMaxShutdownDeadline) plus 0.7 s. A request that was accepted during `linger` (0.5 s) keeps its whole
   // deadline; the remaining 0.2 s allow for a process that is stalled, and for its last answers.
-  limits.shutdown_timeout = limits.shutdown_accept_time + std::min(limits.default_deadline, kMaxShutdownDeadline);
+  limits.shutdown_timeout =
+      limits.shutdown_accept_time + std::min(limits.default_deadline, kMaxShutdownDeadline);
   // An update counts as received shortly after the end of the watch that should have returned it, whether
   // or not it arrived. So a watch waits at most half of the longest time that the rules allow without a
   // call.
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -31,11 +31,11 @@
 
   // Maximum counts.
 
-  std::size_t max_servers = 4096;   // entries of one server list
-  std::size_t max_pipeline = 128;   // unanswered commands of one client
-  std::size_t max_interim_answers = 8;      // interim (1xx) answers before the final HTTP answer
-  std::size_t max_requests = 2048;  // open requests
-  std::size_t max_clients = 480;    // client connections
+  std::size_t max_servers = 4096;       // entries of one server list
+  std::size_t max_pipeline = 128;       // unanswered commands of one client
+  std::size_t max_interim_answers = 8;  // interim (1xx) answers before the final HTTP answer
+  std::size_t max_requests = 2048;      // open requests
+  std::size_t max_clients = 480;        // client connections
   // Idle client connections. Above this the one that has been idle for longest is closed, so that clients
   // that open a connection for each command and keep the old ones cannot fill the table.
   std::size_t max_idle_clients = 40;
@@ -43,8 +43,9 @@
   // a new connection, so more of them are kept.
   std::size_t max_idle_reused_clients = 120;
   std::size_t max_server_connections = 480;  // connections to servers, including idle ones
-  int max_attempts = 1;             // attempts of one request
-  std::size_t max_admin_connections = 16;  // connections to the admin interface; the oldest is closed for a new one
+  int max_attempts = 1;                      // attempts of one request
+  std::size_t max_admin_connections =
+      16;  // connections to the admin interface; the oldest is closed for a new one
 
   // Times.
 
@@ -52,12 +53,14 @@
   // From sending the last byte of an attempt to its arrival at the server. A repeat must arrive within the
   // deduplication window of the first attempt, so it must be sent at least this long before its end.
   Duration transit_allowance{std::chrono::milliseconds(25)};
-  Duration server_connection_idle_timeout{std::chrono::seconds(3)};          // an idle connection to a server is kept this long
-  Duration probe_timeout{std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
+  Duration server_connection_idle_timeout{
+      std::chrono::seconds(3)};  // an idle connection to a server is kept this long
+  Duration probe_timeout{
+      std::chrono::milliseconds(250)};  // for the answer to a probe; then the probe has failed
   // For a client's complete command, from its connection or from the command's first byte.
   Duration command_timeout{std::chrono::milliseconds(2500)};
   Duration client_idle_timeout{std::chrono::seconds(4)};  // a client connection may be idle this long
-  // A client connection is idle for at least this long before `resting` or `resting_again` closes it: the
+  // A client connection is idle for at least this long before a limit on idle connections closes it: the
   // next command often follows the answer at once.
   Duration min_client_idle{std::chrono::milliseconds(50)};
   // In a full table of clients, one may be evicted if it has sent no complete command for this long. A
@@ -74,15 +77,17 @@
   // A removed server is forgotten after this, so that the tables do not grow where servers are replaced all
   // day.
   Duration forget_removed_after{std::chrono::seconds(15)};
-  Duration stream_stall_timeout{std::chrono::seconds(2)};   // without a byte from the server of a streamed value
-  Duration write_stall_timeout{std::chrono::seconds(10)};   // without a client reading; then it is closed
-  Duration default_deadline{std::chrono::seconds(4)};   // deadline of a request that states none
-  Duration max_deadline{std::chrono::seconds(60)};  // the longest deadline that a request may state
+  Duration stream_stall_timeout{
+      std::chrono::seconds(2)};  // without a byte from the server of a streamed value
+  Duration write_stall_timeout{std::chrono::seconds(10)};  // without a client reading; then it is closed
+  Duration default_deadline{std::chrono::seconds(4)};      // deadline of a request that states none
+  Duration max_deadline{std::chrono::seconds(60)};         // the longest deadline that a request may state
 
   // Calls to discovery. A change of the list counts as received 6 s after it happened, even if the router
   // missed it. discovery/list_refresher.h keeps these times plus the waits between calls within that bound.
 
-  Duration watch_time{std::chrono::milliseconds(3000)};  // discovery may hold a watch (a long poll) this long
+  Duration watch_time{
+      std::chrono::milliseconds(3000)};  // discovery may hold a watch (a long poll) this long
   // Each router's watch is shorter by a fixed part of this, so that they do not all call at the same
   // moment.
   Duration watch_spread{std::chrono::milliseconds(500)};
@@ -94,7 +99,8 @@
 
   // Shutdown.
 
-  Duration shutdown_accept_time{std::chrono::milliseconds(500)};  // new work is accepted this long after SIGTERM
+  Duration shutdown_accept_time{
+      std::chrono::milliseconds(500)};  // new work is accepted this long after SIGTERM
   // All requests are answered and the process has ended this long after SIGTERM.
   Duration shutdown_timeout{std::chrono::milliseconds(3500)};
   // When the arrival of a command is estimated, the process is assumed to have been stalled at most this
@@ -108,7 +114,7 @@
   // Admin interface and operator state.
 
   Duration admin_call_timeout{std::chrono::milliseconds(500)};  // for a complete call, from its connection
-  Duration admin_close_timeout{std::chrono::seconds(1)};       // for the caller to read the answer
+  Duration admin_close_timeout{std::chrono::seconds(1)};        // for the caller to read the answer
   // From the confirmation of a resume until the server is used, so that no request reaches the server
   // before the confirmation reaches the operator.
   Duration resume_delay{std::chrono::milliseconds(50)};
@@ -133,8 +139,9 @@
   part.max_clients = share(whole.max_clients, 4);
   part.max_idle_clients = std::min(whole.max_idle_clients, part.max_clients);
   part.max_idle_reused_clients = std::min(whole.max_idle_reused_clients, part.max_clients);
-  part.max_requests = std::min(whole.max_requests,
-                           std::max<std::size_t>(1, std::min(part.max_server_connections, part.max_clients) * 95 / 100));
+  part.max_requests = std::min(
+      whole.max_requests,
+      std::max<std::size_t>(1, std::min(part.max_server_connections, part.max_clients) * 95 / 100));
   part.max_pipeline = std::min(whole.max_pipeline, std::max<std::size_t>(4, part.max_requests / 4));
   return part;
 }
--- a/src/core/ends.h
+++ b/src/core/ends.h
@@ -50,10 +50,11 @@
 // the engine. It must not call the engine from inside these functions, because the engine is modifying its
 // tables at that point.
 //
-// A large value is streamed: StartStream with its length, then SendChunk for each chunk, then Deliver. Deliver with
-// kValue completes it (its body is empty, because the value was sent in chunks). Any other answer after
-// StartStream means that the value cannot be completed: the front end must make that visible to its client, by
-// closing the connection once the chunks received so far are sent, and must not send a second answer.
+// A large value is streamed: StartStream with its length, then SendChunk for each chunk, then Deliver.
+// Deliver with kValue completes it (its body is empty, because the value was sent in chunks). Any other
+// answer after StartStream means that the value cannot be completed: the front end must make that visible
+// to its client, by closing the connection once the chunks received so far are sent, and must not send a
+// second answer.
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
@@ -80,9 +81,9 @@
 class BackEnd {
  public:
   virtual ~BackEnd() = default;
-  // `until`: an answer after this is useless. `send_deadline`: if its last byte cannot be sent before this, the
-  // attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte, because the
-  // state may have changed by then.
+  // `until`: an answer after this is useless. `send_deadline`: if its last byte cannot be sent before this,
+  // the attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte,
+  // because the state may have changed by then.
   virtual void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
                      Time until, Time send_deadline) = 0;
   virtual void Probe(AttemptId probe, ServerId to, bool load) = 0;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -321,8 +321,8 @@
   request->may_have_run = request->may_have_run || !beechledge::NeverRan(end.result);
   if (!beechledge::NeverRan(end.result) && of < settings_.classes.size() &&
       settings_.classes[of].effect == beechledge::Effect::kKeyed) {
-    request->repeat_by =
-        std::min(request->repeat_by, attempt.sent + settings_.classes[of].window - limits_.transit_allowance);
+    request->repeat_by = std::min(request->repeat_by,
+                                  attempt.sent + settings_.classes[of].window - limits_.transit_allowance);
   }
   if (end.result == Result::kOk) {
     AnswerRequest(
@@ -504,7 +504,8 @@
   const DirectoryUpdate update = directory_.Merge(list, origin);
   LogVerdict(update, list, origin);
   if (update.verdict == ListVerdict::kRestartApplied) availability_record_.Reset();
-  const bool whole = update.verdict == ListVerdict::kApplied || update.verdict == ListVerdict::kRestartApplied;
+  const bool whole =
+      update.verdict == ListVerdict::kApplied || update.verdict == ListVerdict::kRestartApplied;
   if (whole) {
     availability_record_.RecordList(list, origin.received_at);
   } else if (update.verdict == ListVerdict::kNoBase) {
@@ -531,8 +532,8 @@
 void Engine::LogVerdict(const DirectoryUpdate& update, const ServerList& list,
                         const ListOrigin& origin) const {
   if (update.verdict == ListVerdict::kApplied) return;
-  LogLine(Level::kInfo) << "list of version " << list.version << " from source " << origin.source << ", call "
-                        << origin.call << ": "
+  LogLine(Level::kInfo) << "list of version " << list.version << " from source " << origin.source
+                        << ", call " << origin.call << ": "
                         << kListVerdictNames[static_cast<std::size_t>(update.verdict)] << "; asked for "
                         << (now_() - origin.requested_at).count() / 1000000
                         << " ms ago, version held: " << directory_.held().value_or(-1);
@@ -646,7 +647,8 @@
   LogLine(Level::kInfo) << "server " << uid << " resumed by hand; it counts as started now";
   // Guards against requests that reach the server before the operator receives the confirmation: until then
   // the server stays out of service.
-  resume_timers_[uid] = deadlines_.Set(now_() + limits_.resume_delay, [this, uid] { ReturnToService(uid); });
+  resume_timers_[uid] =
+      deadlines_.Set(now_() + limits_.resume_delay, [this, uid] { ReturnToService(uid); });
   return true;
 }
 
@@ -675,7 +677,7 @@
 
 // Guards against tables that only grow: if servers are replaced all day, the removed ones would stay in
 // memory and in every loop over servers. A server is forgotten, and its id becomes free, once it was
-// removed Limits::forget ago and no request, attempt or probe in the tables refers to it.
+// removed Limits::forget_removed_after ago and no request, attempt or probe in the tables refers to it.
 void Engine::ForgetRemovedServers() {
   const Time before = now_() - limits_.forget_removed_after;
   if (!directory_.AnyRemovedBefore(before)) return;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -37,8 +37,8 @@
   // The front ends, back ends and discovery client must outlive the engine's last event.
   void Attach(BackEnd& cache_servers, BackEnd& origin, DiscoverySource& watch);
 
-  // Called by front ends. Take returns 0 if the table of requests is full. The request's answer may be
-  // delivered before Take returns.
+  // Called by front ends. AcceptRequest returns 0 if the table of requests is full. The request's answer
+  // may be delivered before AcceptRequest returns.
   RequestId AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request);
   void ClientGone(RequestId request);
   // Fails all open requests and aborts their attempts, because the process is about to exit. Returns the
@@ -79,9 +79,9 @@
   const ServerDirectory& directory() const { return directory_; }
 
   // Called for operators. A suspended server is reported to the module as draining, whatever discovery
-  // says, until it is resumed. It is used again `Limits::put_back` after the resume, and counts as started
-  // at that moment because operators restart it in the meantime. Suspension is a flag, not a count: one
-  // resume undoes any number of suspends. Returns false if no server with that uid is known. With `any`
+  // says, until it is resumed. It is used again `Limits::resume_delay` after the resume, and counts as
+  // started at that moment because operators restart it in the meantime. Suspension is a flag, not a count:
+  // one resume undoes any number of suspends. Returns false if no server with that uid is known. With `any`
   // (used for state persisted by an earlier process) a uid that is not listed yet is accepted too.
   bool Suspend(const std::string& uid, bool any = false);
   bool Resume(const std::string& uid, bool any = false);
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,6 +1,7 @@
 // The graceful shutdown of a router as a state machine. Does no I/O.
 //
-//   serving --Begin--> accepting --Limits::linger--> refusing --Limits::stop_within--> time up
+//   serving --Begin--> accepting --Limits::shutdown_accept_time--> refusing --Limits::shutdown_timeout-->
+//   time up
 //
 // While accepting, the listener stays open and requests are served as before, because the load balancer in
 // front does not know about the shutdown yet. From last_new_work() on, every request that is read is
--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -351,7 +351,8 @@
       if (TakeQuickRetry(now)) {
         const Duration quick =
             std::chrono::duration_cast<Duration>(limits_.drain_grace / 8 * (0.5 + RandomUnit()));
-        return RequireRefresh(now, first ? std::min(limits_.reopen_offset, limits_.drain_grace / 4) : quick);
+        return RequireRefresh(now,
+                              first ? std::min(limits_.reopen_offset, limits_.drain_grace / 4) : quick);
       }
       return BackOff(now);
     case CallEndReason::kOlderList:
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -63,25 +63,25 @@
   kSilent,        // a watch: no byte arrived within its wait and the grace after it
   kStalled,       // an answer that started and did not continue
   kNoAnswer,      // no byte arrived within the longest time that a call may wait
-  kReplaced,       // another call was answered or replaced it
+  kReplaced,      // another call was answered or replaced it
   kMoved,         // a new configuration names another address
   kCount,
 };
-inline constexpr std::array<const char*, static_cast<std::size_t>(CallEndReason::kCount)> kCallEndReasonNames = {
-    "answered",
-    "refused",
-    "connection lost",
-    "a bad answer",
-    "an older list",
-    "changes without their base",
-    "connection lost before it was up",
-    "no connection in time",
-    "cannot connect",
-    "the watch fell silent",
-    "an answer that stops half way",
-    "no answer in time",
-    "made way",
-    "moved"};
+inline constexpr std::array<const char*, static_cast<std::size_t>(CallEndReason::kCount)>
+    kCallEndReasonNames = {"answered",
+                           "refused",
+                           "connection lost",
+                           "a bad answer",
+                           "an older list",
+                           "changes without their base",
+                           "connection lost before it was up",
+                           "no connection in time",
+                           "cannot connect",
+                           "the watch fell silent",
+                           "an answer that stops half way",
+                           "no answer in time",
+                           "made way",
+                           "moved"};
 
 // ---- Actions ----
 
@@ -105,13 +105,13 @@
 
 // Limits on the calls, taken from the deployment's settings and from Limits.
 struct RefreshLimits {
-  Duration watch{0};        // how long discovery may hold a watch
-  Duration watch_grace{0};  // extra time after that before the watch counts as silent
-  Duration connect{0};      // time limit for establishing a connection
-  Duration answer{0};       // an answer that started and then stopped is abandoned after this
-  Duration drain_grace{0};  // a drain has to be received within this after discovery wrote it
-  Duration reopen_offset{0};        // this router's offset in the time over which a fleet reopens broken watches
-  bool agent = false;       // lists are pushed to an agent that serves only this router
+  Duration watch{0};          // how long discovery may hold a watch
+  Duration watch_grace{0};    // extra time after that before the watch counts as silent
+  Duration connect{0};        // time limit for establishing a connection
+  Duration answer{0};         // an answer that started and then stopped is abandoned after this
+  Duration drain_grace{0};    // a drain has to be received within this after discovery wrote it
+  Duration reopen_offset{0};  // this router's offset in the time over which a fleet reopens broken watches
+  bool agent = false;         // lists are pushed to an agent that serves only this router
 };
 
 class ListRefresher {
--- a/src/discovery/server_directory.h
+++ b/src/discovery/server_directory.h
@@ -54,11 +54,11 @@
 // The result of merging a list.
 enum class ListVerdict : std::size_t {
   kApplied,
-  kOlder,         // late: it was requested before the version held arrived
-  kNoBase,        // changes from a version that is not held: only drains and removals were applied
-  kDoubted,       // older than the version held, although requested later
+  kOlder,           // late: it was requested before the version held arrived
+  kNoBase,          // changes from a version that is not held: only drains and removals were applied
+  kDoubted,         // older than the version held, although requested later
   kRestartApplied,  // discovery restarted with lower versions
-  kNotNewer,      // a part of an answer that is not newer than the version held
+  kNotNewer,        // a part of an answer that is not newer than the version held
   kPartApplied,     // drains and removals of a part were applied
   kCount,
 };
--- a/src/discovery/server_list.h
+++ b/src/discovery/server_list.h
@@ -34,9 +34,9 @@
   SourceId source = 0;
   std::uint64_t call = 0;             // the call's id, for the log
   std::optional<std::int64_t> since;  // changes since this version were requested; none: the whole list
-  Time requested_at{0};                      // when the call was made
-  Time received_at{0};                    // when the list, or the part, had been received completely
-  Time notified_at{0};  // from when the router counts as notified of its contents: `arrived` or earlier
+  Time requested_at{0};               // when the call was made
+  Time received_at{0};                // when the list, or the part, had been received completely
+  Time notified_at{0};  // from when the router counts as notified of its contents: received_at or earlier
 };
 
 }  // namespace brasswood
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -62,7 +62,7 @@
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
   DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
-                       beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
+                        beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
   ClientFrontEnd* front_pointer = nullptr;  // the front is created last, as it starts listening at once
   ClientFrontHooks hooks{[&front_pointer] { return front_pointer != nullptr && front_pointer->Ready(); },
@@ -88,7 +88,7 @@
   std::optional<Snapshot> snapshot;
   if (const auto settings = LoadStateSettings()) {
     keeper = std::make_unique<SnapshotKeeper>(*settings, config.name, engine, loop.deadlines(),
-                                      [&loop] { return loop.Now(); });
+                                              [&loop] { return loop.Now(); });
     snapshot = keeper->Load();
     watch.MakeFirstCallImmediate();
   }
@@ -97,13 +97,14 @@
   }
   operations.Restore();
   if (snapshot && !snapshot->list.entries.empty() && snapshot->list.version > config.known.version) {
-    engine.SetInitialList(snapshot->list, loop.Now() - snapshot->taken_at > keeper->settings().old_list_age);
+    engine.SetInitialList(snapshot->list,
+                          loop.Now() - snapshot->taken_at > keeper->settings().old_list_age);
   } else {
     engine.SetInitialList(config.known);
   }
   if (snapshot) {
-    const double confidence =
-        SnapshotConfidence(loop.Now() - snapshot->taken_at, keeper->settings().half_life, keeper->settings().max_age);
+    const double confidence = SnapshotConfidence(loop.Now() - snapshot->taken_at,
+                                                 keeper->settings().half_life, keeper->settings().max_age);
     if (confidence > 0) engine.RestoreSnapshot(std::move(*snapshot), confidence);
   }
   if (keeper) keeper->Start();
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -116,10 +116,11 @@
       },
       &connection);
   bufferevent_enable(connection.buffer.get(), EV_READ | EV_WRITE);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect_timeout, [this, it = connection.self] {
-    it->deadline = {};
-    CloseWithResult(*it, Result::kConnectFailed);
-  });
+  connection.deadline =
+      loop_.deadlines().Set(loop_.Now() + limits_.connect_timeout, [this, it = connection.self] {
+        it->deadline = {};
+        CloseWithResult(*it, Result::kConnectFailed);
+      });
   // An immediate failure (no descriptor, no route) may already have been handled by OnEvent, which destroys
   // the connection. `connection` must not be used then; whether the attempt is still in `busy_` shows what
   // happened.
@@ -228,7 +229,8 @@
   std::size_t used = 0;
   AttemptResult end;
   bool keep = true;
-  const Parsed got = Parse(ContiguousInput(connection.buffer.get()), connection.operation, input, used, end, keep);
+  const Parsed got =
+      Parse(ContiguousInput(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
   loop_.deadlines().Cancel(connection.deadline);
   evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
@@ -363,10 +365,11 @@
   connection.idle = true;
   connection.idle_since = loop_.Now();
   idle_[connection.server].push_back(connection.self);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.server_connection_idle_timeout, [this, it = connection.self] {
-    it->deadline = {};
-    CloseConnection(*it);
-  });
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.server_connection_idle_timeout,
+                                              [this, it = connection.self] {
+                                                it->deadline = {};
+                                                CloseConnection(*it);
+                                              });
 }
 
 void AttemptPool::CloseWithResult(Connection& connection, Result result) {
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -28,7 +28,8 @@
 
 class AttemptPool : public BackEnd {
  public:
-  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters, ConnectionBudget& budget);
+  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters,
+              ConnectionBudget& budget);
   ~AttemptPool() override;
 
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request, Time until,
@@ -79,7 +80,7 @@
     bool streaming = false;
     std::uint64_t value_left = 0;
     std::size_t trailer = 0;
-    bool keep = true;         // whether the connection may be reused after it
+    bool keep = true;            // whether the connection may be reused after it
     AttemptResult streamed_end;  // what the answer's head stated
     bool idle = false;
     Time idle_since{0};
--- a/src/net/client_endings.cpp
+++ b/src/net/client_endings.cpp
@@ -11,8 +11,9 @@
 namespace brasswood {
 
 // Sets the timeout of a client. Guards against clients that occupy a place in the table without sending a
-// complete command: a command must be complete within Limits::speak after the connection was accepted or
-// after the command's first byte, and an idle connection is closed after Limits::rest.
+// complete command: a command must be complete within Limits::command_timeout after the connection was
+// accepted or after the command's first byte, and an idle connection is closed after
+// Limits::client_idle_timeout.
 void ClientFrontEnd::SetTimeout(Client& client) {
   loop_.deadlines().Cancel(client.deadline);
   // A client that waits for an answer, or is still receiving one, has no timeout here.
@@ -75,7 +76,8 @@
   }
   if (client.partial_since == Time(0)) {
     counters_.silent += !client.used;
-    return CloseGracefully(client, client.used ? ClientEndReason::kIdleTimeout : ClientEndReason::kCommandTimeout);
+    return CloseGracefully(client,
+                           client.used ? ClientEndReason::kIdleTimeout : ClientEndReason::kCommandTimeout);
   }
   ++counters_.silent;
   MarkClosing(client, ClientEndReason::kCommandTimeout);
@@ -99,7 +101,7 @@
 // Performs a lingering close of a client that is closing. Guards against error messages that never arrive:
 // closing a socket with unread input sends a reset, which can destroy an answer in transit. So further
 // input is read and discarded, the answers are sent, the sending side is shut, and the socket is closed
-// when the client closes, or after Limits::hang_up.
+// when the client closes, or after Limits::client_close_timeout.
 void ClientFrontEnd::LingeringClose(Client& client) {
   if (!client.discard) {
     LeaveIdleQueue(client);
@@ -118,8 +120,9 @@
   if (client.write_shut || !IsIdle(client)) return;
   client.write_shut = true;
   ::shutdown(bufferevent_getfd(client.buffer.get()), SHUT_WR);
-  client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.client_close_timeout,
-                                          [this, id = client.id] { Close(id, ClientEndReason::kClientStalled); });
+  client.deadline =
+      loop_.deadlines().Set(loop_.Now() + limits_.client_close_timeout,
+                            [this, id = client.id] { Close(id, ClientEndReason::kClientStalled); });
 }
 
 // MSG_TRUNC lets the kernel discard the bytes without copying them: tens of megabytes may arrive.
@@ -148,7 +151,8 @@
   LogLine(Level::kDebug) << "client " << id
                          << " closed: " << kClientEndReasonNames[static_cast<std::size_t>(ended)]
                          << ", pending: " << client->pending.size();
-  const bool by_client = ended == ClientEndReason::kClosedByClient || ended == ClientEndReason::kClientStalled;
+  const bool by_client =
+      ended == ClientEndReason::kClosedByClient || ended == ClientEndReason::kClientStalled;
   const std::string_view unanswered =
       client->pending.empty() ? std::string_view() : client->pending.front().id;
   counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeClose,
--- a/src/net/client_front.cpp
+++ b/src/net/client_front.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 ClientFrontEnd::ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
-                         Counters& counters, const std::string& address)
+                               Counters& counters, const std::string& address)
     : loop_(loop),
       engine_(engine),
       limits_(limits),
@@ -80,7 +80,8 @@
   if (client.write_shut) return 0;
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return -1;
-  if (client.partial_since != Time(0)) return now - client.partial_since > limits_.evict_silent_after ? 3 : -1;
+  if (client.partial_since != Time(0))
+    return now - client.partial_since > limits_.evict_silent_after ? 3 : -1;
   if (!client.used) return now - client.last_active > limits_.evict_silent_after ? 1 : -1;
   return 2;
 }
@@ -169,7 +170,8 @@
         auto* at = static_cast<Client*>(p);
         at->front->loop_.RecordPollReturn();
         if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEndReason::kClientStalled);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) at->front->Close(at->id, ClientEndReason::kClosedByClient);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
+          at->front->Close(at->id, ClientEndReason::kClosedByClient);
       },
       &client);
   // Buffers at most one command of the largest size and a little more; the rest waits in the kernel.
@@ -194,7 +196,8 @@
   const std::uint64_t id = client.id;
   // Guards against work for a client that has already closed: its remaining commands are not read, however
   // many there are.
-  if (PeerClosed(bufferevent_getfd(client.buffer.get()))) return Close(id, ClientEndReason::kClosedByClient);
+  if (PeerClosed(bufferevent_getfd(client.buffer.get())))
+    return Close(id, ClientEndReason::kClosedByClient);
   while (!client.closing) {
     if (IsFull(client)) {
       client.read_paused = true;
@@ -279,7 +282,8 @@
   client.pending.push_back(std::move(pending));
   const std::uint64_t ticket = tickets_.Add({client.id, number});
   client.pending.back().ticket = ticket;
-  const bool late = shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMaxSendDelay;
+  const bool late =
+      shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMaxSendDelay;
   counters_.invariants.Expect(!late, Invariant::kNoNewWorkAfterDeadline, client.pending.back().id);
   const RequestId id = engine_.AcceptRequest(*this, ticket, std::move(request));
   if (id == 0) return Deliver(ticket, {AnswerKind::kRefused, {}, limits_.max_retry_after / 4});
@@ -407,12 +411,14 @@
 // client that closes.
 void ClientFrontEnd::ScheduleCloseCheck(Client& client) {
   loop_.deadlines().Cancel(client.close_check);
-  client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.client_gone_check_interval, [this, id = client.id] {
-    Client& at = **clients_.Find(id);
-    at.close_check = {};
-    if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEndReason::kClosedByClient);
-    if (at.read_paused || at.closing) ScheduleCloseCheck(at);
-  });
+  client.close_check =
+      loop_.deadlines().Set(loop_.Now() + limits_.client_gone_check_interval, [this, id = client.id] {
+        Client& at = **clients_.Find(id);
+        at.close_check = {};
+        if (PeerClosed(bufferevent_getfd(at.buffer.get())))
+          return Close(id, ClientEndReason::kClosedByClient);
+        if (at.read_paused || at.closing) ScheduleCloseCheck(at);
+      });
 }
 
 // Continues with a client after its answers were sent or its state changed: resumes reading it, closes it
@@ -438,7 +444,8 @@
   // reset, and answers in transit lost. That command is read and answered first.
   const bool ending = shutdown_.begun() || draining_;
   if (ending && client.used && IsIdle(client) && !HasUnreadInput(bufferevent_getfd(client.buffer.get()))) {
-    return CloseGracefully(client, shutdown_.begun() ? ClientEndReason::kShutdown : ClientEndReason::kDraining);
+    return CloseGracefully(client,
+                           shutdown_.begun() ? ClientEndReason::kShutdown : ClientEndReason::kDraining);
   }
   SetTimeout(client);
 }
--- a/src/net/client_front.h
+++ b/src/net/client_front.h
@@ -23,8 +23,8 @@
 class ClientFrontEnd : public FrontEnd {
  public:
   // Starts to listen on `address`; throws if that fails.
-  ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names, Counters& counters,
-              const std::string& address);
+  ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
+                 Counters& counters, const std::string& address);
   ~ClientFrontEnd() override;
 
   void Deliver(std::uint64_t ticket, const Answer& answer) override;
@@ -57,7 +57,7 @@
  private:
   struct IdleQueue {  // clients without an open request, the longest idle first
     std::list<std::uint64_t> ids;
-    std::size_t max_size = 0;  // beyond it, the longest idle are closed after Limits::brief
+    std::size_t max_size = 0;  // beyond it, the longest idle are closed after Limits::min_client_idle
     Deadlines::Id eviction;
   };
   struct Pending {  // a command whose answer was not fully sent yet
@@ -84,8 +84,8 @@
     Time queued_since{0};
     bool closing = false;  // further commands are ignored; it closes once everything is answered
     ClientEndReason close_reason = ClientEndReason::kClosedByClient;  // of a client that is closing
-    bool write_shut = false;                        // everything is answered and the sending side was shut
-    bool read_paused = false;                       // not read until some of its answers were sent
+    bool write_shut = false;    // everything is answered and the sending side was shut
+    bool read_paused = false;   // not read until some of its answers were sent
     bool read_resumed = false;  // data read now may have waited for the client's own answers
     bool advance_due = false;   // a call of Advance is scheduled
     bool cut_off = false;       // a value was truncated: nothing more is sent, the rest is cancelled
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -55,7 +55,7 @@
 }
 
 // The time for the shutdown is up: open requests are failed, so that each one is answered, and the process
-// ends after Limits::last_words, whether or not the clients have received their answers.
+// ends after Limits::shutdown_flush_time, whether or not the clients have received their answers.
 void ClientFrontEnd::ForceStop() {
   StopListening();
   const std::size_t failed = engine_.FailAll();
@@ -67,7 +67,7 @@
 
 // Checks repeatedly until two consecutive checks, 25 ms apart, find nothing open, and then ends the
 // shutdown: what was in transit when the listener closed is still read and answered, and the answers are
-// received (a client that receives nothing is closed after Limits::hang_up).
+// received (a client that receives nothing is closed after Limits::client_close_timeout).
 void ClientFrontEnd::StopWhenDone(bool done_before) {
   const bool done = IsDone();
   if (done && done_before) return on_stopped_();
@@ -76,7 +76,8 @@
 }
 
 // Whether no request is open and every answer was received. A connection that has not sent a command yet is
-// waited for as at any other time (Limits::speak): a close that crosses its first command would lose it.
+// waited for as at any other time (Limits::command_timeout): a close that crosses its first command would
+// lose it.
 bool ClientFrontEnd::IsDone() {
   bool done = engine_.open_requests() == 0;
   clients_.Each([&done](std::uint64_t, const auto& client) {
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -54,8 +54,8 @@
 }
 
 DiscoveryClient::DiscoveryClient(Loop& loop, Engine& engine, const Limits& limits,
-                               const ParsedSettings& settings, std::string address, std::int64_t known,
-                               double phase)
+                                 const ParsedSettings& settings, std::string address, std::int64_t known,
+                                 double phase)
     : loop_(loop),
       engine_(engine),
       limits_(limits),
@@ -238,7 +238,8 @@
     Fail(call.id, CallEndReason::kBadAnswer);
   } else {
     // Guards against bytes after an answer, which would be parsed as the start of the next one.
-    const bool keep = call.answer.answer().keep_alive && input != InputEnd::kClosed && call.answer.surplus() == 0;
+    const bool keep =
+        call.answer.answer().keep_alive && input != InputEnd::kClosed && call.answer.surplus() == 0;
     HandleList(call, keep);
   }
   return got;
@@ -251,7 +252,7 @@
   ListOrigin origin = call.origin;
   origin.received_at = loop_.EarliestArrival();
   origin.notified_at = refresher_.AnswerIsFresh(call.id) ? std::min(origin.received_at, call.first_byte_at)
-                                                : loop_.Now() - drain_grace_ / 2;
+                                                         : loop_.Now() - drain_grace_ / 2;
   return origin;
 }
 
@@ -269,7 +270,8 @@
 void DiscoveryClient::HandleList(Call& call, bool keep) {
   const CallId id = call.id;
   const HttpAnswer answer = call.answer.TakeAnswer();
-  if (answer.status != 200) return Fail(id, CallEndReason::kRefused, "status " + std::to_string(answer.status));
+  if (answer.status != 200)
+    return Fail(id, CallEndReason::kRefused, "status " + std::to_string(answer.status));
   std::string why;
   const auto list = ReadServerList(answer.body, names_, limits_, why);
   if (!list) return Fail(id, CallEndReason::kBadAnswer, "server list refused: " + why);
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -38,7 +38,7 @@
   // different for each router, so that the watches of a fleet that become unresponsive or break at the same
   // time are not reopened at the same time.
   DiscoveryClient(Loop& loop, Engine& engine, const Limits& limits, const ParsedSettings& settings,
-                 std::string address, std::int64_t known, double phase = 0);
+                  std::string address, std::int64_t known, double phase = 0);
 
   // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
   // one more call. A router with persisted state needs to know whether it is still valid, and a watch is
--- a/src/net/door.cpp
+++ b/src/net/door.cpp
@@ -66,8 +66,8 @@
       &caller);
   bufferevent_setwatermark(caller.buffer.get(), EV_READ, 0, bounds_.head + bounds_.body + 8);
   bufferevent_enable(caller.buffer.get(), EV_READ | EV_WRITE);
-  caller.deadline =
-      loop_.deadlines().Set(loop_.Now() + limits_.admin_call_timeout, [this, id = caller.id] { OnTimeout(id); });
+  caller.deadline = loop_.deadlines().Set(loop_.Now() + limits_.admin_call_timeout,
+                                          [this, id = caller.id] { OnTimeout(id); });
 }
 
 void AdminServer::OnRead(Caller& caller) {
@@ -108,10 +108,10 @@
   const std::string text = FormatAdminAnswer(status, body, type);
   bufferevent_write(caller.buffer.get(), text.data(), text.size());
   // Further input is read and discarded, so that closing does not send a reset that could destroy the
-  // answer. A caller that does not receive the answer is closed after Limits::door_linger.
+  // answer. A caller that does not receive the answer is closed after Limits::admin_close_timeout.
   loop_.deadlines().Cancel(caller.deadline);
-  caller.deadline =
-      loop_.deadlines().Set(loop_.Now() + limits_.admin_close_timeout, [this, id = caller.id] { Close(id); });
+  caller.deadline = loop_.deadlines().Set(loop_.Now() + limits_.admin_close_timeout,
+                                          [this, id = caller.id] { Close(id); });
 }
 
 void AdminServer::OnWritten(Caller& caller) {
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -167,8 +167,8 @@
   return list;
 }
 
-std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names, const Limits& limits,
-                                         std::string& why) {
+std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names,
+                                         const Limits& limits, std::string& why) {
   rapidjson::Document document;
   ReadJson(json, document);
   if (document.HasParseError()) {
--- a/src/protocol/discovery.h
+++ b/src/protocol/discovery.h
@@ -18,8 +18,8 @@
 // reason. Unknown fields are ignored.
 std::optional<ServerList> ReadServerList(const rapidjson::Value& in, const SettingNames& names,
                                          const Limits& limits, std::string& why);
-std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names, const Limits& limits,
-                                         std::string& why);
+std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names,
+                                         const Limits& limits, std::string& why);
 
 // Scans JSON text as it arrives, one character at a time, and keeps track of the nesting depth and of
 // whether the current position is inside a string.
--- a/src/protocol/door.cpp
+++ b/src/protocol/door.cpp
@@ -54,7 +54,7 @@
 }  // namespace
 
 Parsed ParseAdminRequest(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
-                     AdminRequest& call) {
+                         AdminRequest& call) {
   call = {};
   // Accepts callers that send empty lines first, which RFC 9112 allows a server to skip.
   std::size_t start = 0;
--- a/src/protocol/door.h
+++ b/src/protocol/door.h
@@ -27,7 +27,7 @@
 // Parses one request at the front of `in`. kMore: not complete yet (the caller limits the wait). kBad:
 // `call.status` and `call.error` hold the answer to send. `used`: the size of the request with its body.
 Parsed ParseAdminRequest(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
-                     AdminRequest& call);
+                         AdminRequest& call);
 
 // Formats a complete answer after which the connection is closed: status line, header fields and body.
 std::string FormatAdminAnswer(int status, std::string_view body, std::string_view type = "text/plain");
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -121,7 +121,7 @@
 }
 
 // Parses the head of the final answer. Interim answers (1xx) may precede it and are skipped, but at most
-// Limits::interim of them. Status 101 is invalid: the router never requests another protocol.
+// Limits::max_interim_answers of them. Status 101 is invalid: the router never requests another protocol.
 Parsed ParseFinalHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
                       HttpHead& framing) {
   std::size_t at = 0;
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -17,7 +17,7 @@
 
 struct HttpAnswer {
   int status = 0;
-  bool keep_alive = true;          // the connection may be reused
+  bool keep_alive = true;    // the connection may be reused
   bool turned_away = false;  // X-Turned-Away: 1
   std::string pressure;      // X-Pressure
   std::string body;
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -85,7 +85,8 @@
     c.content.write = true;
     c.content.key = NextWord(rest);
     const auto length = ParseUnsigned(NextWord(rest));
-    if (!length || *length > limits.max_value) {  // where the next command begins is unknown, or too far away
+    if (!length ||
+        *length > limits.max_value) {  // where the next command begins is unknown, or too far away
       c.error = length ? "value too large" : "bad length";
       return Parsed::kBad;
     }
--- a/src/state/disk_thread.h
+++ b/src/state/disk_thread.h
@@ -1,7 +1,7 @@
 // A thread for all disk operations, so that the event loop never waits for a disk. Work is submitted under
 // a name. A newer piece of work replaces a waiting one with the same name, so that the queue does not grow
 // while the disk stalls. Each piece of work returns a completion callback, which the loop runs when it
-// calls Deliver: the thread never calls into the loop, and needs no descriptor to wake it.
+// calls RunCompletions: the thread never calls into the loop, and needs no descriptor to wake it.
 //
 // All functions, including the destructor, must be called from one thread: the loop's.
 #ifndef BRASSWOOD_STATE_DISK_THREAD_H_
@@ -19,7 +19,7 @@
  public:
   using Completion = std::function<void()>;
   // Runs on the disk thread. It must own everything that it accesses, because it may outlive the code that
-  // submitted it. The callback that it returns (may be empty) runs on the loop's thread, in Deliver.
+  // submitted it. The callback that it returns (may be empty) runs on the loop's thread, in RunCompletions.
   using Work = std::function<Completion()>;
 
   DiskThread();
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -87,8 +87,8 @@
   return ReadStateSettings(std::string(std::istreambuf_iterator<char>(in), {}));
 }
 
-SnapshotKeeper::SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
-               std::function<Time()> now)
+SnapshotKeeper::SnapshotKeeper(StateSettings settings, std::string router, Engine& engine,
+                               Deadlines& deadlines, std::function<Time()> now)
     : settings_(std::move(settings)),
       router_(std::move(router)),
       engine_(engine),
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -20,9 +20,9 @@
 struct StateSettings {
   std::string folder;  // must exist
   Duration interval{std::chrono::seconds(5)};
-  std::size_t max_keys = 8192;                 // stored at most, the most recently used ones
-  Duration half_life{std::chrono::minutes(5)};  // half-life of the confidence in what was learnt
-  Duration max_age{std::chrono::hours(1)};    // of an older snapshot only the suspensions are used
+  std::size_t max_keys = 8192;                      // stored at most, the most recently used ones
+  Duration half_life{std::chrono::minutes(5)};      // half-life of the confidence in what was learnt
+  Duration max_age{std::chrono::hours(1)};          // of an older snapshot only the suspensions are used
   Duration old_list_age{std::chrono::seconds(30)};  // servers of an older list may have been replaced
 };
 
@@ -35,13 +35,13 @@
  public:
   // `router`: the router's name. The references must outlive the keeper.
   SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
-         std::function<Time()> now);
+                 std::function<Time()> now);
 
   // Reads the newest valid snapshot of this router out of two generations, if there is one. Blocks for the
   // disk, half a second at most, and logs the result.
   std::optional<Snapshot> Load();
   const StateSettings& settings() const { return settings_; }
-  // Writes a snapshot each `every` from now on, once discovery has confirmed the list, so that a process
+  // Writes a snapshot each `interval` from now on, once discovery has confirmed the list, so that a process
   // that knows less does not overwrite the earlier snapshot.
   void Start();
   // Writes a snapshot now.
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -84,7 +84,8 @@
   }
   w.EndArray();
   w.Key("origin"), w.StartArray();
-  w.Double(s.module_state.origin.limit), w.Double(s.module_state.origin.base), w.Double(s.module_state.origin.usual);
+  w.Double(s.module_state.origin.limit), w.Double(s.module_state.origin.base),
+      w.Double(s.module_state.origin.usual);
   w.EndArray();
   w.Key("keys"), w.StartArray();
   for (const Kept::Key& k : s.module_state.keys) {
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -21,7 +21,7 @@
 
 struct Snapshot {
   std::string router;  // the name of the router that wrote it
-  Time taken_at{0};       // Unix time
+  Time taken_at{0};    // Unix time
   ServerList list;     // the whole list as last received from discovery
   std::set<std::string> suspended;
   // Server ids in it are indexes into list.entries.
--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -99,7 +99,7 @@
         std::string why;
         const auto text =
             ReadFile(folder.path + "/state-" + std::to_string(r) + "/n" + std::to_string(r) + ".state",
-                      kMaxSnapshotBytes, why);
+                     kMaxSnapshotBytes, why);
         complete += text && DecodeSnapshot(*text, why);
       }
       CHECK(complete >= kRouters * 9 / 10);
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -162,7 +162,8 @@
 // list is received within kTold.
 TEST(ListCalls, TheListIsReceivedInTimeHoweverManyCallsFail) {
   const brasswood::Limits limits;
-  const Duration failures[] = {Duration(0), limits.discovery_connect_timeout, limits.discovery_answer_timeout};
+  const Duration failures[] = {Duration(0), limits.discovery_connect_timeout,
+                               limits.discovery_answer_timeout};
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937_64 random(seed);
     const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
@@ -248,7 +249,8 @@
           next.emplace(now, r);
         } else {
           watching[r] = true;
-          next.emplace(now + limits.watch_time - FromSeconds(Seconds(limits.watch_spread) * random_share()), r);
+          next.emplace(now + limits.watch_time - FromSeconds(Seconds(limits.watch_spread) * random_share()),
+                       r);
         }
         notified[r] = true;
         ASSERT_LE(now, ListCalls::kTold) << routers << " routers, seed " << seed;
