--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -295,10 +295,10 @@
   const bool nothing_came = evbuffer_get_length(bufferevent_get_input(connection.buffer.get())) == 0;
   if (connection.connected && connection.reused && nothing_came && !client_try.resent) {
     // A reused connection that closed while the command was in transit: sent again on a new connection.
-    TryRecord& crossed = truth_.tries[static_cast<std::size_t>(connection.try_index)];
-    crossed.end = TryEnd::kClosed;
-    crossed.ended = loop_.Now();
-    ++truth_.crossed;
+    TryRecord& closed_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
+    closed_try.end = TryEnd::kClosed;
+    closed_try.ended = loop_.Now();
+    ++truth_.sent_on_closing;
     Close(connection.id);
     return StartTry(client_try.intent, client_try.id, client_try.number, true);
   }
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -52,7 +52,7 @@
   Capacity capacity;
   std::vector<Time> starts;  // times of its restarts, in order; capacity.started is the latest
   Time gone{0};              // when its process ended; 0: it runs at the end
-  bool fell = false;         // overloaded (a cache server: while cold), and therefore stopped serving
+  bool overloaded = false;   // a cache server (while cold) or the origin stopped serving because of it
   // The capacity as it was at that moment. Guards against applying a later restart to work that was
   // received before it.
   Capacity CapacityAt(Time at) const {
@@ -177,7 +177,7 @@
   Duration late_p999{0}, late_max{0};  // how far sending was behind the schedule
   Duration cpu{0};                     // CPU time of the load's thread
   std::uint64_t connections = 0;       // opened
-  std::uint64_t crossed = 0;           // commands sent on a connection that was just being closed
+  std::uint64_t sent_on_closing = 0;   // commands sent on a connection that was just being closed
   std::uint64_t flood_connections = 0;
 };
 
--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -24,7 +24,7 @@
   if (self.starts.empty()) self.first_started = self.capacity.started;
   self.capacity.started = loop().Now();
   self.starts.push_back(self.capacity.started);
-  self.fell = false;
+  self.overloaded = false;
   meter_ = OverloadMeter(world_.scenario().rules.fall_multiple, world_.scenario().rules.fall, 0.2);
   server_record().gone = Time(0);
   alive_ = true;
@@ -75,8 +75,8 @@
   if (faults().hang) return;
   MachineRecord& self = server_record();
   const Time now = loop().Now();
-  if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.fell = true;
-  const bool refused = rejecting_ || self.fell || peer.over_limit;
+  if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.overloaded = true;
+  const bool refused = rejecting_ || self.overloaded || peer.over_limit;
   if (refused || !Enqueue(peer, record, work, stored ? request.key : std::string())) {
     FinishAttempt(peer, record, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
   }
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -51,7 +51,7 @@
       FinishAttempt(peer, record, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
     }
     if (overloaded && down_until_ <= now) {
-      server_record().fell = true;
+      server_record().overloaded = true;
       world_.truth().origin_fell.push_back(now);
       return Stop(plan_.down);
     }
