--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -269,10 +269,10 @@
   Driver d;
   d.SetServers(4);
   for (int i = 0; i < 40; ++i) d.Serve("warm" + std::to_string(i));
-  const int home = d.Submit("long");
+  const int holder = d.Submit("long");
   for (int i = 0; i < 30; ++i) d.Serve("later" + std::to_string(i), milliseconds(25));
-  EXPECT_LE(d.cancelled.size(), 1u);  // that request may be retried
-  EXPECT_EQ(d.Submit("long"), home);  // and the server is not avoided for it
+  EXPECT_LE(d.cancelled.size(), 1u);    // that request may be retried
+  EXPECT_EQ(d.Submit("long"), holder);  // and the server is not avoided for it
 }
 
 // Guards against late refusals of requests that were never sent; the retry-after time stays within its
@@ -297,20 +297,20 @@
 TEST(Lard, AMalformedAnswerIsRetriedAtTheHolder) {
   Driver d;
   d.SetServers(4);
-  const int home = d.Serve("a");
+  const int holder = d.Serve("a");
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(d.Submit("a"), home);
+    EXPECT_EQ(d.Submit("a"), holder);
     d.EndAttempt(d.last_id, 0, Result::kSpoilt);
-    EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);  // a read may run again
+    EXPECT_EQ(static_cast<int>(d.sends.back().send.server), holder);  // a read may run again
     EXPECT_EQ(d.sends.back().attempt, 1);
     d.EndAttempt(d.last_id, 1, Result::kOk);
-    for (int n = 0; n < 3; ++n) EXPECT_EQ(d.Serve("a"), home);
+    for (int n = 0; n < 3; ++n) EXPECT_EQ(d.Serve("a"), holder);
   }
   d.Submit("a");
   d.EndAttempt(d.last_id, 0, Result::kSpoilt);
   d.EndAttempt(d.last_id, 1, Result::kSpoilt);
   EXPECT_NE(static_cast<int>(d.sends.back().send.server),
-            home);  // after two malformed answers another server is tried
+            holder);  // after two malformed answers another server is tried
   EXPECT_NE(d.Submit("p", 1), -1);
   d.EndAttempt(d.last_id, 0, Result::kSpoilt);
   EXPECT_EQ(d.failed.back(), d.last_id);  // unsafe, and has run
@@ -319,12 +319,12 @@
 TEST(Lard, AServerThatReusesAnIdInheritsNoKeys) {
   Driver d;
   d.SetServers(3);
-  const int home = d.Serve("a");
-  ServerEntry gone = Up(static_cast<ServerId>(home));
+  const int holder = d.Serve("a");
+  ServerEntry gone = Up(static_cast<ServerId>(holder));
   gone.availability = Availability::kRemoved;
   d.List(ListKind::kChanges, {gone});
   const int other = d.Serve("a");
-  ServerEntry fresh = Up(static_cast<ServerId>(home));
+  ServerEntry fresh = Up(static_cast<ServerId>(holder));
   fresh.name = "another";
   d.List(ListKind::kChanges, {fresh});
   d.Advance(milliseconds(1));
@@ -335,15 +335,15 @@
 TEST(Health, TwoConsecutiveResetsDoNotEjectAServer) {
   Driver d;
   d.SetServers(4);
-  const int home = d.Serve("a");
+  const int holder = d.Serve("a");
   d.Submit("a");
   d.EndAttempt(d.last_id, 0, Result::kReset);
   EXPECT_EQ(static_cast<int>(d.sends.back().send.server),
-            home);  // it holds the key, and may be retried once
+            holder);  // it holds the key, and may be retried once
   d.EndAttempt(d.last_id, 1, Result::kReset);
-  EXPECT_NE(static_cast<int>(d.sends.back().send.server), home);
+  EXPECT_NE(static_cast<int>(d.sends.back().send.server), holder);
   d.EndAttempt(d.last_id, 2, Result::kOk);
-  EXPECT_EQ(d.Submit("a"), home);
+  EXPECT_EQ(d.Submit("a"), holder);
 }
 
 // A restarted server must not be ejected for failures of its previous process.
@@ -351,20 +351,20 @@
   for (const bool restarts : {false, true}) {
     Driver d;
     d.SetServers(4);
-    const int home = d.Serve("a");
+    const int holder = d.Serve("a");
     for (int i = 0; i < 20; ++i) d.Serve("a");
     std::vector<RequestId> open;
     for (int i = 0; i < 6; ++i) {
-      ASSERT_EQ(d.Submit("a"), home);
+      ASSERT_EQ(d.Submit("a"), holder);
       open.push_back(d.last_id);
     }
     if (restarts) {
-      ServerEntry anew = Up(static_cast<ServerId>(home));
+      ServerEntry anew = Up(static_cast<ServerId>(holder));
       anew.started = d.now;
       d.List(ListKind::kChanges, {anew});
     }
     for (const RequestId id : open) d.EndAttempt(id, 0, Result::kError);
-    EXPECT_EQ(d.Avoids(static_cast<ServerId>(home)), !restarts);
+    EXPECT_EQ(d.Avoids(static_cast<ServerId>(holder)), !restarts);
   }
 }
 
@@ -373,8 +373,8 @@
 TEST(Health, AnOverdueAttemptIsCancelledOnceWhileARetryCanBeInTime) {
   Driver d;
   d.SetServers(4);
-  int home = -1;
-  for (int i = 0; i < 30; ++i) home = d.Serve("a", milliseconds(10));
+  int holder = -1;
+  for (int i = 0; i < 30; ++i) holder = d.Serve("a", milliseconds(10));
   d.Submit("a");
   const RequestId lost = d.last_id;
   d.Submit("a", 1);
@@ -385,7 +385,7 @@
   ASSERT_EQ(d.cancelled.size(), 1u);  // not the unsafe one
   EXPECT_EQ(d.cancelled[0], std::pair(lost, 0));
   d.EndAttempt(lost, 0, Result::kCancelled);
-  EXPECT_EQ(static_cast<int>(d.sends.back().send.server), home);
+  EXPECT_EQ(static_cast<int>(d.sends.back().send.server), holder);
   EXPECT_EQ(d.sends.back().send.id, lost);
   d.Advance(milliseconds(400));
   EXPECT_EQ(d.cancelled.size(), 1u);  // only once
@@ -477,13 +477,13 @@
 // four seconds: that took most of a minute, and cost 7% of all requests.
 TEST_F(LargeFleet, AServerIsEjectedAfterOneFailureAndTriedAgainLater) {
   for (const Result result : {Result::kTimeout, Result::kConnectFailed, Result::kError}) {
-    const int home = Next("key");
-    dead = {home};
-    EXPECT_EQ(Next("key", result), home);
-    for (int i = 0; i < 45; ++i) EXPECT_NE(Next("key"), home);  // for three seconds
+    const int holder = Next("key");
+    dead = {holder};
+    EXPECT_EQ(Next("key", result), holder);
+    for (int i = 0; i < 45; ++i) EXPECT_NE(Next("key"), holder);  // for three seconds
     dead.clear();
     bool back = false;
-    for (int i = 0; i < 600 && !back; ++i) back = Next("other" + std::to_string(i)) == home;
+    for (int i = 0; i < 600 && !back; ++i) back = Next("other" + std::to_string(i)) == holder;
     EXPECT_TRUE(back);
     d.Advance(seconds(30));  // until the failure has decayed
     for (int i = 0; i < 300; ++i) Next("more" + std::to_string(i));
@@ -522,9 +522,9 @@
   using LargeFleet::own_zone_latency;
   explicit PricedZones(std::uint64_t seed = 1) : LargeFleet(0.13, seed) {}
   int CountOtherZone(const std::string& name) {
-    int away = 0;
-    for (int i = 0; i < 200; ++i) away += Next(name + std::to_string(i)) % 2 == 1;
-    return away;
+    int other_zone = 0;
+    for (int i = 0; i < 200; ++i) other_zone += Next(name + std::to_string(i)) % 2 == 1;
+    return other_zone;
   }
   void TestBody() override {}
 };
@@ -544,8 +544,8 @@
   EXPECT_EQ(t.CountOtherZone("even"), 0);
   t.own_zone_latency = milliseconds(150);
   t.CountOtherZone("slow");
-  const int away = t.CountOtherZone("still");
-  EXPECT_GT(away, 60);
+  const int other_zone = t.CountOtherZone("still");
+  EXPECT_GT(other_zone, 60);
   t.own_zone_latency = milliseconds(40);
   for (int i = 0; i < 3; ++i) t.CountOtherZone("better" + std::to_string(i));
   EXPECT_LT(t.CountOtherZone("after"), 20);
@@ -561,10 +561,10 @@
   for (ServerId id = 0; id < 8; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
   d.List(ListKind::kRemembered, entries);
   for (int i = 0; i < 400; ++i) d.Serve("warm" + std::to_string(i), milliseconds(10));
-  int away = 0;
-  for (int i = 0; i < 200; ++i) away += d.Serve("new" + std::to_string(i), milliseconds(10)) % 2;
-  EXPECT_GT(away, 60);
-  EXPECT_LT(away, 140);
+  int other_zone = 0;
+  for (int i = 0; i < 200; ++i) other_zone += d.Serve("new" + std::to_string(i), milliseconds(10)) % 2;
+  EXPECT_GT(other_zone, 60);
+  EXPECT_LT(other_zone, 140);
 }
 
 // Guards against idle connections into a zone that is down: each would be used for a request and get no
