--- a/lab/base/lag_meter.h
+++ b/lab/base/lag_meter.h
@@ -26,18 +26,17 @@
   }
   // The largest lag measured so far.
   Duration most() const { return max_lag_; }
-  // The number of ticks that ran more than kLateThreshold late.
+  // The number of ticks that ran more than 20 ms late.
   std::uint64_t late() const { return late_ticks_; }
 
  private:
   static constexpr Duration kInterval = std::chrono::milliseconds(5);
-  static constexpr Duration kLateThreshold = std::chrono::milliseconds(20);
   void ScheduleTick() {
     const Time due = loop_->Now() + kInterval;
     timer_ = loop_->deadlines().Set(due, [this, due] {
       const Duration lag = loop_->Now() - due;
       max_lag_ = std::max(max_lag_, lag);
-      late_ticks_ += lag > kLateThreshold;
+      late_ticks_ += lag > std::chrono::milliseconds(20);
       ScheduleTick();
     });
   }
