--- a/lab/explore/list_caller.cpp
+++ b/lab/explore/list_caller.cpp
@@ -92,6 +92,6 @@
 std::unique_ptr<ListCaller> MakeRefresher(const CallerPlan& plan) {
   return std::make_unique<Refresher>(plan);
 }
-std::unique_ptr<ListCaller> MakeChained(const CallerPlan& plan) { return std::make_unique<Chained>(plan); }
+std::unique_ptr<ListCaller> MakeChainedTimeouts(const CallerPlan& plan) { return std::make_unique<Chained>(plan); }
 
 }  // namespace brasswood::lab
--- a/lab/explore/list_caller.h
+++ b/lab/explore/list_caller.h
@@ -33,7 +33,7 @@
 
 // The faulty one: it has one call open at a time, closes it after a fixed timeout, and waits as after a
 // refusal before the next one. Each timeout is reasonable by itself, but their sum is unbounded.
-std::unique_ptr<ListCaller> MakeChained(const CallerPlan& plan);
+std::unique_ptr<ListCaller> MakeChainedTimeouts(const CallerPlan& plan);
 
 }  // namespace brasswood::lab
 
--- a/lab/explore/list_press.cpp
+++ b/lab/explore/list_press.cpp
@@ -165,9 +165,9 @@
   return DiscoveryLoad(plan, make).Run();
 }
 
-void PrintPress(std::uint64_t seed, std::ostream& out) {
+void PrintDiscoveryLoad(std::uint64_t seed, std::ostream& out) {
   const std::pair<const char*, MakeCaller> state_machines[] = {{"refresher", MakeRefresher},
-                                                               {"chained", MakeChained}};
+                                                               {"chained", MakeChainedTimeouts}};
   // -1e-09 means that it did not happen.
   out << "machine routers each_ms all_heard_s calls forsaken calls_each_s news_heard_s\n";
   for (const auto& [name, make] : state_machines) {
--- a/lab/explore/list_press.h
+++ b/lab/explore/list_press.h
@@ -37,7 +37,7 @@
 DiscoveryLoadFigures MeasureDiscoveryLoad(const DiscoveryLoadPlan& plan, const MakeCaller& make);
 
 // Prints the results of both state machines for fleets of 6, 30 and 300 routers and 1, 10 and 50 ms a call.
-void PrintPress(std::uint64_t seed, std::ostream& out);
+void PrintDiscoveryLoad(std::uint64_t seed, std::ostream& out);
 
 }  // namespace brasswood::lab
 
--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -33,7 +33,7 @@
   kLateAnswer,    // some answers are sent after the deadline
   kForeignValue,  // some values are invented by the router
   kLateDrain,     // the first change of the server list is ignored, and the list never read again
-  kColdPush,      // all reads go to the cache server that started last
+  kColdOverload,      // all reads go to the cache server that started last
   kTwoAtOnce,     // reads go to two cache servers at the same time
   kRefusedRun     // writes that ran are refused as not run
 };
@@ -151,7 +151,7 @@
       if (!IsOrigin(e) && e.availability == Availability::kUp) in_service.push_back(&e);
     }
     if (in_service.empty()) return {};
-    if (fault_ == Fault::kColdPush) {
+    if (fault_ == Fault::kColdOverload) {
       const auto last =
           std::max_element(in_service.begin(), in_service.end(),
                            [](const auto* a, const auto* b) { return a->started < b->started; });
--- a/lab/load/answer.h
+++ b/lab/load/answer.h
@@ -11,7 +11,7 @@
 namespace brasswood::lab {
 
 struct ClientAnswer {
-  TryEnd end = TryEnd::kBad;
+  TryOutcome end = TryOutcome::kMalformed;
   Duration retry_after{0};
   std::uint32_t serial = 0;
 };
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-LoadTruth Load::TakeTruth() { return std::move(truth_); }
+LoadRecord Load::TakeRecord() { return std::move(truth_); }
 
 void Load::Tick() {
   const bool over = !next_ && open_intents_ == 0 && loop_.Now() >= start_ + scenario_.length;
@@ -67,16 +67,16 @@
 void Load::SendDue() {
   const Time now = loop_.Now();
   while (next_ && start_ + next_->at <= now) {
-    Intent intent;
+    ClientRequest intent;
     intent.at = start_ + next_->at;
     intent.request_class = next_->request_class;
     intent.tenant = next_->tenant;
     intent.hall = next_->hall;
-    truth_.intents.push_back(intent);
+    truth_.requests.push_back(intent);
     states_.push_back({*next_, 0, 0});
     lateness_.push_back(now - intent.at);
     ++open_intents_;
-    StartNextTry(static_cast<std::uint32_t>(truth_.intents.size() - 1));
+    StartNextTry(static_cast<std::uint32_t>(truth_.requests.size() - 1));
     next_ = schedule_.Next();
   }
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
@@ -111,10 +111,10 @@
 void Load::StartTry(std::uint32_t intent, RequestId id, int number, bool resent) {
   const Arrival& a = states_[intent].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
-  const Duration left = truth_.intents[intent].at + plan.give_up - loop_.Now();
+  const Duration left = truth_.requests[intent].at + plan.give_up - loop_.Now();
   TryRecord client_try;
   client_try.id = id;
-  client_try.intent = intent;
+  client_try.request_index = intent;
   client_try.number = static_cast<std::uint8_t>(number);
   client_try.resent = resent;
   client_try.timeout =
@@ -140,7 +140,7 @@
   truth_.tries.back().router = static_cast<std::int16_t>(router);
   connection = Open(router, a.client, false);
   if (connection == nullptr) {  // refused at once, or this process has no file descriptor left
-    truth_.tries.back().end = TryEnd::kUnreachable;
+    truth_.tries.back().outcome = TryOutcome::kUnreachable;
     truth_.tries.back().ended = loop_.Now();
     loop_.deadlines().Set(loop_.Now(), [this, try_index] {
       RetryOrFinish(truth_.tries[static_cast<std::size_t>(try_index)]);
@@ -152,7 +152,7 @@
       loop_.deadlines().Set(loop_.Now() + client_try.timeout, [this, conn = connection->id] {
         Connection& at = **connections_.Find(conn);
         at.deadline = {};
-        EndTry(at, TryEnd::kUnreachable);
+        EndTry(at, TryOutcome::kUnreachable);
       });
 }
 
@@ -207,20 +207,20 @@
 
 void Load::WriteTry(Connection& connection) {
   TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
-  const Arrival& a = states_[client_try.intent].arrival;
+  const Arrival& a = states_[client_try.request_index].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(client_try.timeout).count();
-  std::string labels = " O" + IdText(client_try.id) + " Pc=" + plan.name +
+  std::string labels = " O" + FormatId(client_try.id) + " Pc=" + plan.name +
                        ",t=" + scenario_.tenants[a.tenant].name + ",d=" + std::to_string(ms);
   std::string text = (plan.write ? "ms " : "mg ") + KeyName(a.key);
   if (plan.write) {
-    if (plan.repeats == Repeats::kKeyed) labels += ",k=" + IdText(a.id);
+    if (plan.repeats == Repeats::kKeyed) labels += ",k=" + FormatId(a.id);
     text += " 5" + labels + "\r\nwrite\r\n";
   } else {
     text += " v" + labels + "\r\n";
   }
   client_try.router = static_cast<std::int16_t>(connection.router);
-  client_try.pooled = connection.reused;
+  client_try.on_reused_connection = connection.reused;
   client_try.sent = loop_.Now();
   ++sent_;
   bufferevent_write(connection.buffer.get(), text.data(), text.size());
@@ -228,7 +228,7 @@
   connection.deadline = loop_.deadlines().Set(client_try.sent + longest, [this, id = connection.id] {
     Connection& at = **connections_.Find(id);
     at.deadline = {};
-    EndTry(at, TryEnd::kOpen);
+    EndTry(at, TryOutcome::kOpen);
   });
   MaybeLeave(connection);
 }
@@ -248,7 +248,7 @@
         loop_.deadlines().Set(at, [this, id = connection.id] {
           Connection& leaving = **connections_.Find(id);
           leaving.leave_timer = {};
-          EndTry(leaving, TryEnd::kLeft);
+          EndTry(leaving, TryOutcome::kLeft);
         });
     return;
   }
@@ -270,7 +270,7 @@
   if (got == Parsed::kDone) evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
   client_try.serial = answer.serial;
   client_try.retry_after = answer.retry_after;
-  EndTry(connection, got == Parsed::kDone ? answer.end : TryEnd::kBad);
+  EndTry(connection, got == Parsed::kDone ? answer.end : TryOutcome::kMalformed);
 }
 
 void Load::OnEvent(Connection& connection, short what) {
@@ -297,30 +297,30 @@
   if (connection.connected && connection.reused && nothing_came && !client_try.resent) {
     // A reused connection that closed while the command was in transit: sent again on a new connection.
     TryRecord& closed_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
-    closed_try.end = TryEnd::kClosed;
+    closed_try.outcome = TryOutcome::kClosed;
     closed_try.ended = loop_.Now();
     ++truth_.sent_on_closing;
     Close(connection.id);
-    return StartTry(client_try.intent, client_try.id, client_try.number, true);
+    return StartTry(client_try.request_index, client_try.id, client_try.number, true);
   }
-  EndTry(connection, connection.connected ? TryEnd::kClosed : TryEnd::kUnreachable);
+  EndTry(connection, connection.connected ? TryOutcome::kClosed : TryOutcome::kUnreachable);
 }
 
 // Records the end of the try on this connection, and reuses or closes the connection.
-void Load::EndTry(Connection& connection, TryEnd end) {
+void Load::EndTry(Connection& connection, TryOutcome end) {
   TryRecord& client_try = truth_.tries[static_cast<std::size_t>(connection.try_index)];
-  client_try.end = end;
+  client_try.outcome = end;
   client_try.ended = loop_.Now();
   connection.try_index = -1;
   loop_.deadlines().Cancel(connection.deadline);
   loop_.deadlines().Cancel(connection.leave_timer);
   const TryRecord done = client_try;
-  const bool complete = end == TryEnd::kValue || end == TryEnd::kReceipt || end == TryEnd::kBusy ||
-                        end == TryEnd::kFailed || end == TryEnd::kError;
+  const bool complete = end == TryOutcome::kValue || end == TryOutcome::kReceipt || end == TryOutcome::kBusy ||
+                        end == TryOutcome::kFailed || end == TryOutcome::kError;
   if (complete && scenario_.load.pool != Pool::kDrop) {
     KeepConnection(connection);
   } else {
-    if (end == TryEnd::kUnreachable) {
+    if (end == TryOutcome::kUnreachable) {
       down_until_[static_cast<std::size_t>(connection.router)] = loop_.Now() + scenario_.load.notice;
     }
     Close(connection.id);
@@ -330,14 +330,14 @@
 
 // After a try has ended: sends a further try, now or after a backoff, or ends the intent.
 void Load::RetryOrFinish(const TryRecord& client_try) {
-  Intent& intent = truth_.intents[client_try.intent];
-  IntentState& state = states_[client_try.intent];
+  ClientRequest& intent = truth_.requests[client_try.request_index];
+  IntentState& state = states_[client_try.request_index];
   const ClassPlan& plan = scenario_.classes[intent.request_class];
   const Time now = loop_.Now();
-  const bool served = client_try.end == TryEnd::kValue || client_try.end == TryEnd::kReceipt;
-  const bool unreachable = client_try.end == TryEnd::kUnreachable;
-  bool retry = !served && client_try.end != TryEnd::kLeft;
-  if (plan.repeats == Repeats::kNever) retry = retry && (client_try.end == TryEnd::kBusy || unreachable);
+  const bool served = client_try.outcome == TryOutcome::kValue || client_try.outcome == TryOutcome::kReceipt;
+  const bool unreachable = client_try.outcome == TryOutcome::kUnreachable;
+  bool retry = !served && client_try.outcome != TryOutcome::kLeft;
+  if (plan.repeats == Repeats::kNever) retry = retry && (client_try.outcome == TryOutcome::kBusy || unreachable);
   if (plan.repeats == Repeats::kKeyed) retry = retry && now < intent.at + plan.window;
   retry = retry &&
           (unreachable ? ++state.unreachable <= kMaxUnreachable : state.tries < scenario_.load.retries);
@@ -349,7 +349,7 @@
     if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, client_try.retry_after);
   }
   if (retry && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
-    loop_.deadlines().Set(now + wait, [this, n = client_try.intent] { StartNextTry(n); });
+    loop_.deadlines().Set(now + wait, [this, n = client_try.request_index] { StartNextTry(n); });
     return;
   }
   intent.done = true;
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -32,7 +32,7 @@
   std::uint64_t sent() const { return sent_; }
   std::uint64_t served() const { return served_; }
   // After Run. A try that Stop interrupted has the end kOpen and no end time.
-  LoadTruth TakeTruth();
+  LoadRecord TakeRecord();
 
  private:
   struct Connection {
@@ -43,7 +43,7 @@
     BufferPtr buffer;
     bool connected = false;    // established
     bool reused = false;       // a try on it has been answered
-    long long try_index = -1;  // index of the open try in LoadTruth::tries; -1: none
+    long long try_index = -1;  // index of the open try in LoadRecord::tries; -1: none
     Deadlines::Id deadline;
     Deadlines::Id leave_timer;  // when its client closes it before the answer
     bool flood = false;         // opened by a flood or crowd fault: carries no request
@@ -64,7 +64,7 @@
   void MaybeLeave(const Connection& connection);
   void OnRead(Connection& connection);
   void OnEvent(Connection& connection, short what);
-  void EndTry(Connection& connection, TryEnd end);
+  void EndTry(Connection& connection, TryOutcome end);
   void RetryOrFinish(const TryRecord& client_try);
   void KeepConnection(Connection& connection);
   void Close(std::uint64_t id);
@@ -80,7 +80,7 @@
   Rng rng_;
   Time start_{0};
   std::optional<Arrival> next_;
-  LoadTruth truth_;
+  LoadRecord truth_;
   std::vector<IntentState> states_;  // by intent
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -232,14 +232,14 @@
       exit = RunSoak(soak_plan, study, side, std::cout);
     }
     if (*explore) {
-      const MakeCaller make = explore_chained ? MakeChained : MakeRefresher;
+      const MakeCaller make = explore_chained ? MakeChainedTimeouts : MakeRefresher;
       const auto last = explore_first + explore_seeds - 1;
       const int broken = explore_directory
                              ? ExploreDirectory(explore_first, last, DirectoryFault::kNone, std::cout)
                              : Explore(explore_first, last, make, std::cout);
       exit = broken == 0 ? Exit::kSuccess : Exit::kFailed;
     }
-    if (*press) PrintPress(press_seed, std::cout);
+    if (*press) PrintDiscoveryLoad(press_seed, std::cout);
     if (*check) {
       for (const std::string& file : files) {
         (void)LoadScenario(FindScenario(file));
--- a/lab/preload/disk_fault.cpp
+++ b/lab/preload/disk_fault.cpp
@@ -38,7 +38,7 @@
     ::close(fd);
     return at == MAP_FAILED ? nullptr : static_cast<const std::atomic<int>*>(at);
   }();
-  return shared == nullptr ? DiskMode::kSound : static_cast<DiskMode>(shared->load());
+  return shared == nullptr ? DiskMode::kHealthy : static_cast<DiskMode>(shared->load());
 }
 
 bool PathInFolder(const char* path) {
@@ -106,7 +106,7 @@
 
 ssize_t write(int fd, const void* data, size_t size) {
   static const auto next = Next<ssize_t (*)(int, const void*, size_t)>("write");
-  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+  if (Mode() != DiskMode::kHealthy && FileInFolder(fd)) {
     WaitWhileStalled();
     switch (Mode()) {
       case DiskMode::kFull:
@@ -131,7 +131,7 @@
 
 int fsync(int fd) {
   static const auto next = Next<int (*)(int)>("fsync");
-  if (Mode() != DiskMode::kSound && FileInFolder(fd)) {
+  if (Mode() != DiskMode::kHealthy && FileInFolder(fd)) {
     if (const int error = ChangeError()) return FailWith(error);
   }
   return next(fd);
--- a/lab/preload/disk_mode.h
+++ b/lab/preload/disk_mode.h
@@ -6,7 +6,7 @@
 namespace brasswood::lab {
 
 enum class DiskMode : int {
-  kSound,
+  kHealthy,
   kFull,      // no space left: ENOSPC
   kError,     // EIO on write, fsync and rename
   kStall,     // calls block
--- a/lab/report/beliefs.cpp
+++ b/lab/report/beliefs.cpp
@@ -6,11 +6,11 @@
 
 namespace brasswood::lab {
 
-std::vector<std::vector<float>> ReadAvoidedShares(const Truth& t) {
+std::vector<std::vector<float>> ReadAvoidedShares(const RunRecord& t) {
   const auto seconds = static_cast<std::size_t>(t.scenario.length / std::chrono::seconds(1));
   std::unordered_map<std::string, std::size_t> machines;
-  for (std::size_t m = 0; m < t.world.machines.size(); ++m) machines[t.world.machines[m].uid] = m;
-  std::vector<std::vector<float>> avoided(t.world.machines.size(), std::vector<float>(seconds));
+  for (std::size_t m = 0; m < t.world.servers.size(); ++m) machines[t.world.servers[m].uid] = m;
+  std::vector<std::vector<float>> avoided(t.world.servers.size(), std::vector<float>(seconds));
   std::vector<float> reports(seconds);  // log lines of that second, over all routers
   bool found_report = false;
   const double start = static_cast<double>(t.start.count()) / 1e9;
--- a/lab/report/beliefs.h
+++ b/lab/report/beliefs.h
@@ -11,7 +11,7 @@
 
 // For each machine and second of the run: the share of the routers that avoided the machine in that second,
 // of the routers that logged their view. Empty if no log contains it.
-std::vector<std::vector<float>> ReadAvoidedShares(const Truth& truth);
+std::vector<std::vector<float>> ReadAvoidedShares(const RunRecord& truth);
 
 }  // namespace brasswood::lab
 
--- a/lab/report/figures.cpp
+++ b/lab/report/figures.cpp
@@ -38,11 +38,11 @@
 
 class FigureBuilder {
  public:
-  explicit FigureBuilder(const Outcome& outcome) : outcome_(outcome), t_(outcome.truth), s_(t_.scenario) {}
+  explicit FigureBuilder(const Outcome& outcome) : outcome_(outcome), t_(outcome.record), s_(t_.scenario) {}
 
   Figures Compute() {
-    last_.assign(t_.load.intents.size(), nullptr);
-    for (const TryRecord& t : t_.load.tries) last_[t.intent] = &t;
+    last_.assign(t_.load.requests.size(), nullptr);
+    for (const TryRecord& t : t_.load.tries) last_[t.request_index] = &t;
     f_.length_s = Seconds(s_.length - s_.warm_up);
     f_.bins.resize(static_cast<std::size_t>(std::ceil(Seconds(s_.length) / kBinSeconds)));
     for (std::size_t b = 0; b < f_.bins.size(); ++b) f_.bins[b].at_s = static_cast<double>(b) * kBinSeconds;
@@ -58,18 +58,18 @@
 
  private:
   Ending EndingOf(std::size_t n) const {
-    const Intent& intent = t_.load.intents[n];
+    const ClientRequest& intent = t_.load.requests[n];
     if (intent.served) {
       return intent.ended - intent.at <= s_.classes[intent.request_class].aim ? Ending::kInTime
                                                                               : Ending::kLate;
     }
     if (last_[n] == nullptr) return Ending::kUnanswered;
-    switch (last_[n]->end) {
-      case TryEnd::kBusy:
+    switch (last_[n]->outcome) {
+      case TryOutcome::kBusy:
         return Ending::kRefused;
-      case TryEnd::kFailed:
-      case TryEnd::kError:
-      case TryEnd::kBad:
+      case TryOutcome::kFailed:
+      case TryOutcome::kError:
+      case TryOutcome::kBad:
         return Ending::kFailed;
       default:
         return Ending::kUnanswered;
@@ -89,8 +89,8 @@
     std::vector<ClassTally> classes(s_.classes.size()), tenants(s_.tenants.size()), halls(s_.halls.size());
     std::vector<LatencyHistogram> latencies(f_.bins.size());
     double worth = 0, worth_in_time = 0;
-    for (std::size_t n = 0; n < t_.load.intents.size(); ++n) {
-      const Intent& intent = t_.load.intents[n];
+    for (std::size_t n = 0; n < t_.load.requests.size(); ++n) {
+      const ClientRequest& intent = t_.load.requests[n];
       if (outcome_.partial && !intent.done) continue;
       const Ending ending = EndingOf(n);
       const Duration took = intent.ended - intent.at;
@@ -133,48 +133,48 @@
       if (Bin* bin = t.sent == Time(0) ? nullptr : BinOf(t.sent)) ++bin->tries;
       if (!IsCounted(t.sent)) continue;
       tries += !t.resent;
-      pooled += t.pooled && !t.resent;
+      pooled += t.on_reused_connection && !t.resent;
       closed_idle += t.resent;
     }
     f_.tries_per_request = Ratio(tries, f_.asked);
     f_.reused_share = Ratio(pooled, tries);
     f_.closed_idle_share = Ratio(closed_idle, tries);
-    f_.connections_per_request = Ratio(t_.load.connections, t_.load.intents.size());
+    f_.connections_per_request = Ratio(t_.load.connections, t_.load.requests.size());
   }
 
   void AddAttempts() {
-    std::vector<double> work(t_.world.machines.size());
+    std::vector<double> work(t_.world.servers.size());
     std::uint64_t attempts = 0, at_servers = 0, hits = 0, fetches = 0, cross_zone = 0;
-    std::vector<NodeFigures> all(t_.world.machines.size());
+    std::vector<NodeFigures> all(t_.world.servers.size());
     for (const AttemptRecord& c : t_.world.attempts) {
-      const auto m = static_cast<std::size_t>(c.machine);
-      if (Bin* bin = BinOf(c.whole)) {
+      const auto m = static_cast<std::size_t>(c.server);
+      if (Bin* bin = BinOf(c.received_at)) {
         ++bin->attempts;
-        if (c.machine == kOrigin) {
-          bin->origin_load += c.work_s / (t_.world.machines[0].capacity.full * kBinSeconds);
+        if (c.server == kOrigin) {
+          bin->origin_load += c.work_s / (t_.world.servers[0].capacity.full * kBinSeconds);
           bin->fetches += !c.write;
         }
       }
-      if (!IsCounted(c.whole)) continue;
+      if (!IsCounted(c.received_at)) continue;
       ++attempts;
       work[m] += c.work_s;
       NodeFigures& n = all[m];
       ++n.attempts;
-      n.hits += c.fate == Fate::kHit;
-      n.misses += c.fate == Fate::kMiss;
-      n.turned_away += c.fate == Fate::kTurnedAway;
-      if (c.machine == kOrigin) {
+      n.hits += c.outcome == AttemptOutcome::kHit;
+      n.misses += c.outcome == AttemptOutcome::kMiss;
+      n.turned_away += c.outcome == AttemptOutcome::kTurnedAway;
+      if (c.server == kOrigin) {
         fetches += !c.write;
         continue;
       }
       ++at_servers;
-      hits += c.fate == Fate::kHit;
-      cross_zone += t_.world.machines[m].hall != c.router / s_.routers.per_hall;
+      hits += c.outcome == AttemptOutcome::kHit;
+      cross_zone += t_.world.servers[m].hall != c.router / s_.routers.per_hall;
     }
     for (std::size_t m = 0; m < all.size(); ++m) {
-      const MachineRecord& record = t_.world.machines[m];
+      const ServerRecord& record = t_.world.servers[m];
       const Time from = std::max(record.capacity.started, t_.start + s_.warm_up);
-      const Time until = std::min(record.gone == Time(0) ? Time::max() : record.gone, t_.start + s_.length);
+      const Time until = std::min(record.stopped_at == Time(0) ? Time::max() : record.stopped_at, t_.start + s_.length);
       all[m].uid = record.uid;
       all[m].hall = s_.halls[static_cast<std::size_t>(record.hall)];
       all[m].cold_start = record.capacity.started != Time(0);
@@ -185,7 +185,7 @@
     f_.fetches_per_request = Ratio(fetches, f_.asked);
     f_.hit_share = Ratio(hits, at_servers);
     f_.cross_zone_share = Ratio(cross_zone, at_servers);
-    f_.origin_falls = t_.world.origin_fell.size();
+    f_.origin_falls = t_.world.origin_overloads.size();
     for (std::size_t b = 0; b + 1 < f_.bins.size(); ++b) {
       if (f_.bins[b].at_s < Seconds(s_.warm_up)) continue;
       f_.origin_peak = std::max(f_.origin_peak, (f_.bins[b].origin_load + f_.bins[b + 1].origin_load) / 2);
@@ -200,7 +200,7 @@
       r.memory_mb = std::max(r.memory_mb, sample.usage.memory_mb);
       r.descriptors = std::max(r.descriptors, sample.usage.descriptors);
     }
-    f_.cpu_us_per_request = Ratio(outcome_.router_cpu_s * 1e6, t_.load.intents.size());
+    f_.cpu_us_per_request = Ratio(outcome_.router_cpu_s * 1e6, t_.load.requests.size());
   }
 
   // The share in time of the requests sent between two times, in seconds from the start.
@@ -267,7 +267,7 @@
   }
 
   const Outcome& outcome_;
-  const Truth& t_;
+  const RunRecord& t_;
   const Scenario& s_;
   std::vector<const TryRecord*> last_;
   Figures f_;
--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -224,7 +224,7 @@
 }  // namespace
 
 std::string ReportHtml(const Outcome& outcome, const Figures& f) {
-  const Scenario& s = outcome.truth.scenario;
+  const Scenario& s = outcome.record.scenario;
   const double length = static_cast<double>(s.length.count()) / 1e9;
   std::vector<Plot> plots;
   const auto share = [](const Bin& b) {
@@ -299,14 +299,14 @@
   out << HeatMap(f.spread.use, "Utilisation of cache servers",
                  "one row per server, one column per second; darker is higher, red is above its capacity",
                  kColours[0], "#b3400b")
-      << HeatMap(ReadAvoidedShares(outcome.truth), "Avoided by routers",
+      << HeatMap(ReadAvoidedShares(outcome.record), "Avoided by routers",
                  "the same rows; darker: avoided by more routers, according to their debug logs",
                  kColours[7], kColours[7])
       << NodeTable(f);
-  if (!outcome.breaches.empty()) {
+  if (!outcome.violations.empty()) {
     out << "<h2>Violated rules</h2><pre>";
-    for (std::size_t i = 0; i < outcome.breaches.size() && i < 20; ++i) {
-      out << Escape(Story(outcome.truth, outcome.breaches[i])) << "\n";
+    for (std::size_t i = 0; i < outcome.violations.size() && i < 20; ++i) {
+      out << Escape(DescribeViolation(outcome.record, outcome.violations[i])) << "\n";
     }
     out << "</pre>";
   }
--- a/lab/report/service.cpp
+++ b/lab/report/service.cpp
@@ -40,7 +40,7 @@
 
 class ServiceMeasurement {
  public:
-  ServiceMeasurement(const Truth& t, std::size_t fault) : t_(t), s_(t.scenario), f_(s_.faults[fault]) {
+  ServiceMeasurement(const RunRecord& t, std::size_t fault) : t_(t), s_(t.scenario), f_(s_.faults[fault]) {
     fault_start_ = Seconds(f_.at);
     fault_end_ = Seconds(EndOf(f_));
     // Overlapping faults are evaluated as one; the next fault ends the evaluation period.
@@ -114,7 +114,7 @@
 
   Series InTime() const {
     Series s(bins_);
-    for (const Intent& i : t_.load.intents) {
+    for (const ClientRequest& i : t_.load.requests) {
       const bool timely = i.served && i.ended - i.at <= s_.classes[i.request_class].aim;
       s.Add(BinOf(i.at), timely, 1);
     }
@@ -123,28 +123,28 @@
   Series Hits() const {
     Series s(bins_);
     for (const AttemptRecord& c : t_.world.attempts) {
-      if (c.machine == kOrigin || (c.fate != Fate::kHit && c.fate != Fate::kMiss)) continue;
-      s.Add(BinOf(c.whole), c.fate == Fate::kHit, 1);
+      if (c.server == kOrigin || (c.outcome != AttemptOutcome::kHit && c.outcome != AttemptOutcome::kMiss)) continue;
+      s.Add(BinOf(c.received_at), c.outcome == AttemptOutcome::kHit, 1);
     }
     return s;
   }
   Series Origin() const {
     Series s(bins_);
     for (std::size_t b = 0; b < bins_; ++b)
-      s.whole[b] = t_.world.machines[kOrigin].capacity.full * kBinSeconds;
+      s.whole[b] = t_.world.servers[kOrigin].capacity.full * kBinSeconds;
     for (const AttemptRecord& c : t_.world.attempts) {
-      if (c.machine == kOrigin) s.Add(BinOf(c.whole), c.work_s, 0);
+      if (c.server == kOrigin) s.Add(BinOf(c.received_at), c.work_s, 0);
     }
     return s;
   }
   // Work by machine and bin, relative to the machine's warm capacity.
   std::vector<std::vector<double>> Work() const {
-    std::vector<std::vector<double>> work(t_.world.machines.size(), std::vector<double>(bins_));
+    std::vector<std::vector<double>> work(t_.world.servers.size(), std::vector<double>(bins_));
     for (const AttemptRecord& c : t_.world.attempts) {
-      const std::size_t b = BinOf(c.whole);
-      if (c.machine == kOrigin || b >= bins_) continue;
-      const auto m = static_cast<std::size_t>(c.machine);
-      work[m][b] += c.work_s / t_.world.machines[m].capacity.full;
+      const std::size_t b = BinOf(c.received_at);
+      if (c.server == kOrigin || b >= bins_) continue;
+      const auto m = static_cast<std::size_t>(c.server);
+      work[m][b] += c.work_s / t_.world.servers[m].capacity.full;
     }
     return work;
   }
@@ -156,8 +156,8 @@
     const Time to = from + std::chrono::seconds(2);
     double most = 0, sum = 0, weight = 0;
     for (std::size_t m = 1; m < work.size(); ++m) {
-      const MachineRecord& r = t_.world.machines[m];
-      if (r.capacity.Cold(from) || r.capacity.started > from || (r.gone != Time(0) && r.gone < to))
+      const ServerRecord& r = t_.world.servers[m];
+      if (r.capacity.IsCold(from) || r.capacity.started > from || (r.stopped_at != Time(0) && r.stopped_at < to))
         continue;
       double use = 0;
       for (std::size_t b = bin; b < std::min(bin + 4, bins_); ++b) use += work[m][b];
@@ -168,7 +168,7 @@
     return sum == 0 ? 1 : most / (sum / weight);
   }
 
-  bool WasDown(const Absence& a) const {
+  bool WasDown(const RouterOutage& a) const {
     const double from = Seconds(a.from - t_.start);
     return from >= fault_start_ - 0.5 && from <= fault_end_ + 0.5;
   }
@@ -176,7 +176,7 @@
   double ListRecoveryTime() const {
     double latest = 0;
     std::map<int, Time> launched;  // the latest start
-    for (const Absence& a : t_.absences) {
+    for (const RouterOutage& a : t_.outages) {
       if (WasDown(a)) launched[a.router] = std::max(launched[a.router], a.launched);
     }
     for (const auto& [router, at] : launched) {
@@ -203,14 +203,14 @@
   }
 
   void FindSlowestRouter(ServiceFigures& out) const {
-    for (const Absence& a : t_.absences) {
+    for (const RouterOutage& a : t_.outages) {
       if (!WasDown(a) || a.launched == Time(0)) continue;
       Time asked = Time::max(), first = Time::max();
       for (const TryRecord& r : t_.load.tries) {
         if (r.router != a.router || r.sent < a.launched) continue;
         asked = std::min(asked, r.sent);
-        const bool served = r.end == TryEnd::kValue || r.end == TryEnd::kReceipt;
-        if (!served || r.ended - r.sent > s_.classes[t_.load.intents[r.intent].request_class].aim) continue;
+        const bool served = r.outcome == TryOutcome::kValue || r.outcome == TryOutcome::kReceipt;
+        if (!served || r.ended - r.sent > s_.classes[t_.load.requests[r.request_index].request_class].aim) continue;
         first = std::min(first, r.ended);
       }
       if (first == Time::max()) continue;  // it got no request, or it was stopped again
@@ -229,11 +229,11 @@
     }
     std::map<std::int64_t, std::map<int, int>> up;
     for (const LinkRecord& l : t_.world.links) {
-      if (l.up && in_period(ms(l.at))) ++up[ms(l.at) / 250][l.machine];
+      if (l.up && in_period(ms(l.at))) ++up[ms(l.at) / 250][l.server];
     }
     std::size_t servers = 0;
-    for (std::size_t m = 1; m < t_.world.machines.size(); ++m)
-      servers += t_.world.machines[m].gone == Time(0);
+    for (std::size_t m = 1; m < t_.world.servers.size(); ++m)
+      servers += t_.world.servers[m].stopped_at == Time(0);
     for (const auto& [quarter, by_server] : up) {
       double all = 0, most = 0;
       for (const auto& [machine, n] : by_server) all += n, most = std::max<double>(most, n);
@@ -243,12 +243,12 @@
     std::unordered_map<RequestId, int> attempts;
     std::vector<std::pair<Time, int>> changes;
     for (const AttemptRecord& c : t_.world.attempts) {
-      const bool fetch = c.machine == kOrigin && !c.write;
-      if (c.machine != kOrigin && attempts[c.request]++ > 0 && in_period(ms(c.whole)))
-        again[ms(c.whole) / 250] += 1;
-      if (fetch && in_period(ms(c.whole))) {
-        changes.emplace_back(c.whole, 1);
-        if (c.end != Time(0)) changes.emplace_back(c.end, -1);
+      const bool fetch = c.server == kOrigin && !c.write;
+      if (c.server != kOrigin && attempts[c.request]++ > 0 && in_period(ms(c.received_at)))
+        again[ms(c.received_at) / 250] += 1;
+      if (fetch && in_period(ms(c.received_at))) {
+        changes.emplace_back(c.received_at, 1);
+        if (c.ended_at != Time(0)) changes.emplace_back(c.ended_at, -1);
       }
     }
     std::sort(changes.begin(), changes.end());
@@ -271,7 +271,7 @@
     out.again_per_s = max_per_second(again);
   }
 
-  const Truth& t_;
+  const RunRecord& t_;
   const Scenario& s_;
   const FaultPlan& f_;
   double fault_start_ = 0, fault_end_ = 0, period_end_ = 0;
@@ -280,7 +280,7 @@
 
 }  // namespace
 
-ServiceFigures MeasureService(const Truth& truth, std::size_t fault) {
+ServiceFigures MeasureService(const RunRecord& truth, std::size_t fault) {
   return ServiceMeasurement(truth, fault).Compute();
 }
 
--- a/lab/report/service.h
+++ b/lab/report/service.h
@@ -41,7 +41,7 @@
 };
 
 // Computes the figures for one of the scenario's faults, given by its index.
-ServiceFigures MeasureService(const Truth& truth, std::size_t fault);
+ServiceFigures MeasureService(const RunRecord& truth, std::size_t fault);
 
 }  // namespace brasswood::lab
 
--- a/lab/report/spread.cpp
+++ b/lab/report/spread.cpp
@@ -12,15 +12,15 @@
 
 }  // namespace
 
-SpreadFigures MeasureSpread(const Truth& t) {
+SpreadFigures MeasureSpread(const RunRecord& t) {
   SpreadFigures f;
   const Scenario& s = t.scenario;
   const auto seconds = static_cast<std::size_t>(s.length / std::chrono::seconds(1));
   const auto first = static_cast<std::size_t>(s.warm_up / std::chrono::seconds(1));
-  const std::size_t machines = t.world.machines.size();
+  const std::size_t machines = t.world.servers.size();
   std::vector<std::vector<float>> count(machines, std::vector<float>(seconds * kTenthsPerSecond));
   std::vector<float> asked(seconds * kTenthsPerSecond);
-  for (const Intent& i : t.load.intents) {
+  for (const ClientRequest& i : t.load.requests) {
     const auto tenth = static_cast<std::size_t>((i.at - t.start) / std::chrono::milliseconds(100));
     if (i.at >= t.start && tenth < asked.size()) ++asked[tenth];
   }
@@ -28,11 +28,11 @@
   f.use.assign(machines, std::vector<float>(seconds));
   f.use[kOrigin].clear();
   for (const AttemptRecord& c : t.world.attempts) {
-    if (c.machine == kOrigin || c.whole < t.start) continue;
-    const auto tenth = static_cast<std::size_t>((c.whole - t.start) / std::chrono::milliseconds(100));
+    if (c.server == kOrigin || c.received_at < t.start) continue;
+    const auto tenth = static_cast<std::size_t>((c.received_at - t.start) / std::chrono::milliseconds(100));
     if (tenth >= seconds * kTenthsPerSecond) continue;
-    const auto m = static_cast<std::size_t>(c.machine);
-    f.use[m][tenth / kTenthsPerSecond] += c.work_s / static_cast<float>(t.world.machines[m].capacity.full);
+    const auto m = static_cast<std::size_t>(c.server);
+    f.use[m][tenth / kTenthsPerSecond] += c.work_s / static_cast<float>(t.world.servers[m].capacity.full);
     ++count[m][tenth];
     if (tenth / kTenthsPerSecond >= first) work[m] += c.work_s;
   }
@@ -42,8 +42,8 @@
   double total = 0, squares = 0, capacity = 0;
   std::vector<double> uses;
   for (std::size_t m = 1; m < machines; ++m) {
-    const MachineRecord& r = t.world.machines[m];
-    if (r.capacity.started > from || (r.gone != Time(0) && r.gone < until)) continue;
+    const ServerRecord& r = t.world.servers[m];
+    if (r.capacity.started > from || (r.stopped_at != Time(0) && r.stopped_at < until)) continue;
     const double use = work[m] / (r.capacity.full * static_cast<double>(seconds - first));
     uses.push_back(use);
     total += use * r.capacity.full;
@@ -62,9 +62,9 @@
     bool busy = false;
     int idle = 0;
     for (std::size_t m = 1; m < machines; ++m) {
-      const MachineRecord& r = t.world.machines[m];
+      const ServerRecord& r = t.world.servers[m];
       const Time at = t.start + std::chrono::seconds(second);
-      if (r.capacity.started > at || (r.gone != Time(0) && r.gone < at)) continue;
+      if (r.capacity.started > at || (r.stopped_at != Time(0) && r.stopped_at < at)) continue;
       busy |= f.use[m][second] > kBusy;
       idle += f.use[m][second] < kIdle;
       double server_attempts = 0, all_requests = 0;
--- a/lab/report/spread.h
+++ b/lab/report/spread.h
@@ -25,7 +25,7 @@
       use;  // utilisation by machine (empty for the origin) and second of the run
 };
 
-SpreadFigures MeasureSpread(const Truth& truth);
+SpreadFigures MeasureSpread(const RunRecord& truth);
 
 }  // namespace brasswood::lab
 
--- a/lab/report/write.cpp
+++ b/lab/report/write.cpp
@@ -86,7 +86,7 @@
 }  // namespace
 
 std::vector<std::string> UnmetExpectations(const Outcome& outcome, const Figures& f) {
-  const ExpectPlan& e = outcome.truth.scenario.expect;
+  const ExpectPlan& e = outcome.record.scenario.expect;
   std::vector<std::string> all;
   std::ostringstream text;
   text << std::setprecision(4);
@@ -104,7 +104,7 @@
 }
 
 Verdict DecideVerdict(const Outcome& outcome, const Figures& figures) {
-  if (!outcome.breaches.empty() || !outcome.troubles.empty()) return Verdict::kFailed;
+  if (!outcome.violations.empty() || !outcome.troubles.empty()) return Verdict::kFailed;
   if (outcome.partial) return Verdict::kPartial;
   if (!outcome.void_because.empty()) return Verdict::kVoid;
   return UnmetExpectations(outcome, figures).empty() ? Verdict::kPassed : Verdict::kFailed;
@@ -120,7 +120,7 @@
   Writer w(text);
   w.SetIndent(' ', 1);
   JsonWriter j(w);
-  const Scenario& s = outcome.truth.scenario;
+  const Scenario& s = outcome.record.scenario;
   j.Object(nullptr, [&] {
     j.Put("version", std::uint64_t{kResultVersion});
     j.Put("scenario", s.name);
@@ -129,10 +129,10 @@
     j.Texts("void_because", outcome.void_because);
     j.Texts("troubles", outcome.troubles);
     j.Texts("unmet", UnmetExpectations(outcome, f));
-    j.Array("breaches", outcome.breaches, [&](const Breach& b) {
+    j.Array("breaches", outcome.violations, [&](const Violation& b) {
       j.Put("rule", std::string(kRuleNames[static_cast<std::size_t>(b.rule)]));
-      j.Put("request", IdText(b.request));
-      j.Put("at_s", static_cast<double>((b.at - outcome.truth.start).count()) / 1e9);
+      j.Put("request", FormatId(b.request));
+      j.Put("at_s", static_cast<double>((b.at - outcome.record.start).count()) / 1e9);
       j.Put("what", b.what);
     });
     j.Put("length_s", f.length_s);
@@ -199,12 +199,12 @@
       j.Put("tries", b.tries);
     });
     j.Object("laboratory", [&] {
-      const Truth& t = outcome.truth;
+      const RunRecord& t = outcome.record;
       j.Put("schedule_late_p999_ms", static_cast<double>(t.load.late_p999.count()) / 1e6);
       j.Put("schedule_late_max_ms", static_cast<double>(t.load.late_max.count()) / 1e6);
-      j.Put("emulator_lag_max_ms", static_cast<double>(t.world.lag.count()) / 1e6);
+      j.Put("emulator_lag_max_ms", static_cast<double>(t.world.max_lag.count()) / 1e6);
       j.Put("routers_ready_s", f.ready_s);
-      j.Put("emulator_late", t.world.late);
+      j.Put("emulator_late", t.world.late_ticks);
       j.Put("emulator_cpu_s", static_cast<double>(t.world.cpu.count()) / 1e9);
       j.Put("load_cpu_s", static_cast<double>(t.load.cpu.count()) / 1e9);
       j.Put("connections", t.load.connections);
@@ -217,7 +217,7 @@
 std::string Summary(const Outcome& outcome, const Figures& f) {
   std::ostringstream out;
   out << std::fixed;
-  const Scenario& s = outcome.truth.scenario;
+  const Scenario& s = outcome.record.scenario;
   out << s.name << ": " << VerdictName(DecideVerdict(outcome, f)) << "\n";
   for (const std::string& why : outcome.void_because) out << "  void: " << why << "\n";
   for (const std::string& what : outcome.troubles) out << "  trouble: " << what << "\n";
@@ -251,9 +251,9 @@
       << std::setprecision(0) << f.spread.idle_s << " s, herd " << std::setprecision(1) << f.spread.herd
       << "\n"
       << "  laboratory: " << f.routers.size() << " routers ready in " << std::setprecision(2) << f.ready_s
-      << " s, emulator " << static_cast<double>(outcome.truth.world.cpu.count()) / 1e9 << " s and load "
-      << static_cast<double>(outcome.truth.load.cpu.count()) / 1e9 << " s of their cores, emulator at most "
-      << InMs(outcome.truth.world.lag) << " late\n";
+      << " s, emulator " << static_cast<double>(outcome.record.world.cpu.count()) / 1e9 << " s and load "
+      << static_cast<double>(outcome.record.load.cpu.count()) / 1e9 << " s of their cores, emulator at most "
+      << FormatMs(outcome.record.world.max_lag) << " late\n";
   for (const FaultFigures& x : f.faults) {
     out << "  " << x.kind << " from " << x.from_s << " to " << x.until_s << " s: in time " << x.before
         << " before, " << x.lowest << " in the worst second; ";
@@ -283,11 +283,11 @@
         << x.service.connections << " of the mean\n";
   }
   out << "  rules: ";
-  if (outcome.breaches.empty()) {
+  if (outcome.violations.empty()) {
     out << "all kept\n";
   } else {
-    out << outcome.breaches.size() << " violations; the first:\n"
-        << Story(outcome.truth, outcome.breaches[0]);
+    out << outcome.violations.size() << " violations; the first:\n"
+        << DescribeViolation(outcome.record, outcome.violations[0]);
   }
   return out.str();
 }
@@ -311,10 +311,10 @@
   WriteFile(folder + "/result.json", ResultJson(outcome, figures));
   WriteFile(folder + "/report.html", ReportHtml(outcome, figures));
   WriteFile(folder + "/summary.txt", Summary(outcome, figures));
-  if (outcome.breaches.empty()) return;
+  if (outcome.violations.empty()) return;
   std::string stories;
-  for (std::size_t i = 0; i < outcome.breaches.size() && i < kMaxStories; ++i) {
-    stories += Story(outcome.truth, outcome.breaches[i]) + "\n";
+  for (std::size_t i = 0; i < outcome.violations.size() && i < kMaxStories; ++i) {
+    stories += DescribeViolation(outcome.record, outcome.violations[i]) + "\n";
   }
   WriteFile(folder + "/stories.txt", stories);
 }
--- a/lab/run/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -50,21 +50,21 @@
 class Experiment {
  public:
   Experiment(const Scenario& scenario, const RunOptions& options) : options_(options), world_(scenario) {
-    out_.truth.scenario = scenario;
+    out_.record.scenario = scenario;
     std::filesystem::create_directories(options.folder);
     RaiseDescriptorLimit();
   }
 
   Outcome Execute() {
-    const Scenario& s = out_.truth.scenario;
+    const Scenario& s = out_.record.scenario;
     std::vector<std::string> entries;
     if (options_.direct) {
-      entries.assign(static_cast<std::size_t>(world_.routers()), world_.NodeEndpoints(0).front());
+      entries.assign(static_cast<std::size_t>(world_.routers()), world_.CacheServerEndpoints(0).front());
     } else {
       for (int r = 0; r < world_.routers(); ++r) {
         routers_.push_back(std::make_unique<RouterProcess>(s, r, options_.router, options_.folder));
         entries.push_back(routers_.back()->listen());
-        out_.truth.router_logs.push_back(routers_.back()->log());
+        out_.record.router_logs.push_back(routers_.back()->log());
       }
     }
     Load load(s, entries);
@@ -86,7 +86,7 @@
     out_.ready_s = static_cast<double>((clock_.Now() - launched).count()) / 1e9;
     if (ready) {
       const Time start = clock_.Now() + milliseconds(200);
-      out_.truth.start = start;
+      out_.record.start = start;
       world_.Start(start);
       std::atomic<bool> done{false};
       clients = std::thread([&] {
@@ -105,11 +105,11 @@
     ReadViolations();
     world_.Stop();
     platform.join();
-    out_.truth.world = world_.TakeTruth();
-    out_.truth.load = load.TakeTruth();
+    out_.record.world = world_.TakeRecord();
+    out_.record.load = load.TakeRecord();
     if (!ready) return std::move(out_);
     CheckRunValidity(out_, {idle_share_, static_cast<double>(load_duration_.count()) / 1e9});
-    if (!options_.direct) out_.breaches = Judge(out_.truth);
+    if (!options_.direct) out_.violations = CheckRules(out_.record);
     return std::move(out_);
   }
 
@@ -125,7 +125,7 @@
     ::setrlimit(RLIMIT_NOFILE, &limit);
   }
 
-  Duration Elapsed() const { return clock_.Now() - out_.truth.start; }
+  Duration Elapsed() const { return clock_.Now() - out_.record.start; }
 
   void StartRouter(RouterProcess& router) { StartRouterWith(router, KnownAs::kFresh, Duration(0)); }
 
@@ -137,9 +137,9 @@
         std::find_if(routers_.begin(), routers_.end(), [&](const auto& r) { return r.get() == &router; }) -
         routers_.begin());
     const std::string list = known == KnownAs::kEmpty ? R"({"rev":0,"all":true,"targets":[]})"
-                             : known == KnownAs::kOld ? world_.KnownThen(number, age)
-                                                      : world_.Known(number);
-    for (Absence& a : out_.truth.absences) {
+                             : known == KnownAs::kOld ? world_.ListAt(number, age)
+                                                      : world_.CurrentList(number);
+    for (RouterOutage& a : out_.record.outages) {
       if (a.router == number && a.until == Time::max()) a.launched = clock_.Now();
     }
     stop_requested_at_.erase(number);  // that request was for the previous process
@@ -184,14 +184,14 @@
                              stopping_.insert(r);
                              if (term && router->Running()) stop_requested_at_[r] = clock_.Now();
                              if (term) return router->Terminate();
-                             out_.truth.absences.push_back({r, clock_.Now(), Time::max(), Time(0)});
+                             out_.record.outages.push_back({r, clock_.Now(), Time::max(), Time(0)});
                              router->Kill();
                            }});
         actions.push_back(
             {at + f.down, [this, r, router, &f, other_state_file] {
                // A router that got SIGTERM counts as absent from now on, when it is killed.
                if (f.term) {
-                 out_.truth.absences.push_back({r, clock_.Now(), Time::max(), Time(0), StopRequestedAt(r)});
+                 out_.record.outages.push_back({r, clock_.Now(), Time::max(), Time(0), StopRequestedAt(r)});
                }
                router->Kill();
                router->PrepareState(f.kept, other_state_file);
@@ -216,12 +216,12 @@
       for (Duration at = f.at; at < f.at + f.length; at += f.every) {
         actions.push_back({at, [this, r, router] {
                              if (stopping_.contains(r)) return;
-                             out_.truth.holds.push_back({r, clock_.Now(), Time::max()});
+                             out_.record.pauses.push_back({r, clock_.Now(), Time::max()});
                              router->Pause();
                            }});
         actions.push_back({at + f.hold, [this, r, router] {
                              router->Resume();
-                             for (Hold& h : out_.truth.holds) {
+                             for (RouterPause& h : out_.record.pauses) {
                                if (h.router == r && h.until == Time::max()) h.until = clock_.Now();
                              }
                            }});
@@ -253,7 +253,7 @@
       std::size_t which = 1;
       for (Duration at = f.at; at <= f.at + f.length; at += f.every, which = 1 - which) {
         actions.push_back({at, [this, r, router, which] {
-                             out_.truth.reloads.push_back({r, clock_.Now()});
+                             out_.record.reloads.push_back({r, clock_.Now()});
                              router->Reload(world_.DiscoveryEndpoint(r, which));
                            }});
       }
@@ -262,7 +262,7 @@
 
   // Collects violations reported by the routers' own run-time checks from the logs of all their processes.
   void ReadViolations() {
-    for (const std::string& file : out_.truth.router_logs) {
+    for (const std::string& file : out_.record.router_logs) {
       std::ifstream log(file);
       int lines = 0;
       for (std::string line; std::getline(log, line) && lines < 5;) {
@@ -276,14 +276,14 @@
   // Executes the faults that affect routers at their times, samples resource usage and reports progress.
   void RunTimeline(Load& load, const std::atomic<bool>& done) {
     std::vector<TimedAction> actions;
-    for (std::size_t i = 0; i < out_.truth.scenario.faults.size(); ++i) {
-      const FaultPlan& f = out_.truth.scenario.faults[i];
+    for (std::size_t i = 0; i < out_.record.scenario.faults.size(); ++i) {
+      const FaultPlan& f = out_.record.scenario.faults[i];
       if (f.kind == FaultKind::kMachineDrop) {
-        for (const auto& [machine, r] : Dropped(out_.truth.scenario, i)) {
+        for (const auto& [machine, r] : Dropped(out_.record.scenario, i)) {
           RouterProcess* router = routers_.empty() ? nullptr : routers_[static_cast<std::size_t>(r)].get();
           if (router == nullptr) continue;
           actions.push_back({f.at, [this, r, router] {
-                               out_.truth.absences.push_back({r, clock_.Now(), Time::max(), Time(0)});
+                               out_.record.outages.push_back({r, clock_.Now(), Time::max(), Time(0)});
                                router->Pause();
                              }});
           actions.push_back({f.at + f.length, [this, r, router] {
@@ -303,13 +303,13 @@
         for (const int r : AffectedRouters(f, i)) {
           RouterProcess* router = routers_[static_cast<std::size_t>(r)].get();
           actions.push_back({f.at, [router, mode = f.disk] { router->SetDiskMode(mode); }});
-          actions.push_back({f.at + f.length, [router] { router->SetDiskMode(DiskMode::kSound); }});
+          actions.push_back({f.at + f.length, [router] { router->SetDiskMode(DiskMode::kHealthy); }});
         }
       }
       if (f.kind != FaultKind::kKill) continue;
       for (const int r : AffectedRouters(f, i)) {
         actions.push_back({f.at, [this, r] {
-                             out_.truth.absences.push_back({r, clock_.Now(), Time::max(), Time(0)});
+                             out_.record.outages.push_back({r, clock_.Now(), Time::max(), Time(0)});
                              routers_[static_cast<std::size_t>(r)]->Kill();
                            }});
         actions.push_back({f.at + f.length, [this, r] {
@@ -330,7 +330,7 @@
       for (; next < actions.size() && actions[next].at <= Elapsed(); ++next) actions[next].run();
       std::erase_if(restarting_, [this](int r) {
         if (!routers_[static_cast<std::size_t>(r)]->Ready(milliseconds(5))) return false;
-        for (Absence& a : out_.truth.absences) {
+        for (RouterOutage& a : out_.record.outages) {
           if (a.router == r && a.until == Time::max()) a.until = clock_.Now();
         }
         return true;
@@ -347,9 +347,9 @@
   std::vector<int> AffectedRouters(const FaultPlan& f, std::size_t number) {
     std::vector<int> all;
     for (int r = 0; r < world_.routers(); ++r) {
-      if (f.hall < 0 || r / out_.truth.scenario.routers.per_hall == f.hall) all.push_back(r);
+      if (f.hall < 0 || r / out_.record.scenario.routers.per_hall == f.hall) all.push_back(r);
     }
-    return Victims(out_.truth.scenario, number, std::move(all));
+    return Victims(out_.record.scenario, number, std::move(all));
   }
 
   // Samples each router twice a second, a few routers per call: sampling hundreds at once would delay the
@@ -408,17 +408,17 @@
 }  // namespace
 
 void CheckRunValidity(Outcome& out, const HostHeadroom& headroom) {
-  const Truth& t = out.truth;
+  const RunRecord& t = out.record;
   if (t.load.late_p999 > t.scenario.load.late_limit) {
-    out.void_because.push_back("the load ran " + InMs(t.load.late_p999) +
+    out.void_because.push_back("the load ran " + FormatMs(t.load.late_p999) +
                                " behind its schedule (99.9th percentile; " +
-                               InMs(t.scenario.load.late_limit) + " allowed)");
+                               FormatMs(t.scenario.load.late_limit) + " allowed)");
   }
   const double duration_s = headroom.duration_s;
   const auto share = [](double part) { return std::to_string(static_cast<int>(part * 100)) + "%"; };
   const double ticks = std::max(1.0, duration_s / 0.005);
-  if (static_cast<double>(t.world.late) / ticks > kMaxLateShare) {
-    out.void_because.push_back("the emulator's loop was late " + std::to_string(t.world.late) + " times (" +
+  if (static_cast<double>(t.world.late_ticks) / ticks > kMaxLateShare) {
+    out.void_because.push_back("the emulator's loop was late " + std::to_string(t.world.late_ticks) + " times (" +
                                share(kMaxLateShare) + " of its ticks allowed)");
   }
   for (const auto& [who, cpu] : {std::pair("emulator", t.world.cpu), std::pair("load", t.load.cpu)}) {
@@ -431,8 +431,8 @@
     out.void_because.push_back("the machine's cores stood idle for " + share(headroom.idle_share) +
                                " of the run (" + share(kMinIdleShare) + " at least)");
   }
-  if (t.world.lag > kMaxLag) {
-    out.void_because.push_back("the emulator's loop ran " + InMs(t.world.lag) + " late (" + InMs(kMaxLag) +
+  if (t.world.max_lag > kMaxLag) {
+    out.void_because.push_back("the emulator's loop ran " + FormatMs(t.world.max_lag) + " late (" + FormatMs(kMaxLag) +
                                " allowed)");
   }
 }
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -29,9 +29,9 @@
 };
 
 struct Outcome {
-  Truth truth;
+  RunRecord record;
   std::vector<Sample> samples;
-  std::vector<Breach> breaches;
+  std::vector<Violation> violations;
   std::vector<std::string> troubles;  // routers that failed to start, crashed or failed to stop
   double ready_s = 0;                 // from the first start until all routers were ready
   double router_cpu_s = 0;            // total of all router processes
--- a/lab/run/soak.cpp
+++ b/lab/run/soak.cpp
@@ -278,8 +278,8 @@
       out << "seed " << seed << ": " << VerdictName(verdict) << ", " << scenario.routers.per_hall
           << " routers, " << scenario.faults.size() << " faults, " << figures.asked << " requests\n";
       for (const std::string& what : outcome.troubles) out << "  " << what << "\n";
-      for (const Breach& b : outcome.breaches) {
-        out << "  " << kRuleNames[static_cast<std::size_t>(b.rule)] << ": " << IdText(b.request) << " "
+      for (const Violation& b : outcome.violations) {
+        out << "  " << kRuleNames[static_cast<std::size_t>(b.rule)] << ": " << FormatId(b.request) << " "
             << b.what << "\n";
       }
       for (const std::string& why : outcome.void_because) out << "  void: " << why << "\n";
--- a/lab/run/studies.cpp
+++ b/lab/run/studies.cpp
@@ -43,7 +43,7 @@
 }
 
 bool NoRouterFailures(const CompletedRun& p) {
-  return p.outcome.breaches.empty() && p.outcome.troubles.empty();
+  return p.outcome.violations.empty() && p.outcome.troubles.empty();
 }
 
 void PrintProgress(const Study& study, const std::string& text) {
@@ -224,7 +224,7 @@
   options.folder = folder;
   options.direct = true;
   const Outcome outcome = RunOnce(ReadScenario(text.str(), "ceiling"), options);
-  const Truth& t = outcome.truth;
+  const RunRecord& t = outcome.record;
   const double served = static_cast<double>(t.world.attempts.size());
   const double emulator = static_cast<double>(t.world.cpu.count()) / 1e9;
   const double load = static_cast<double>(t.load.cpu.count()) / 1e9;
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -28,23 +28,23 @@
   std::vector<const AttemptRecord*> attempts;  // in the order in which they were received completely
 };
 
-bool Served(TryEnd end) { return end == TryEnd::kValue || end == TryEnd::kReceipt; }
+bool Served(TryOutcome end) { return end == TryOutcome::kValue || end == TryOutcome::kReceipt; }
 
 // Whether the attempt may have had an effect, as far as its router could tell.
 bool MayHaveRun(const AttemptRecord& attempt) {
-  return attempt.fate != Fate::kTurnedAway && attempt.fate != Fate::kMiss;
+  return attempt.outcome != AttemptOutcome::kTurnedAway && attempt.outcome != AttemptOutcome::kMiss;
 }
 
 class RuleChecker {
  public:
-  explicit RuleChecker(const Truth& truth)
-      : truth_(truth), slack_(kSocketSlack + truth.world.lag + truth.load.late_max) {
+  explicit RuleChecker(const RunRecord& truth)
+      : truth_(truth), slack_(kSocketSlack + truth.world.max_lag + truth.load.late_max) {
     for (const TryRecord& client_try : truth.load.tries) requests_[client_try.id].last_try = &client_try;
     for (const AttemptRecord& attempt : truth.world.attempts)
       requests_[attempt.request].attempts.push_back(&attempt);
   }
 
-  std::vector<Breach> Check() {
+  std::vector<Violation> Check() {
     for (const TryRecord& client_try : truth_.load.tries) CheckAnswer(client_try, requests_[client_try.id]);
     for (const TryRecord& client_try : truth_.load.tries)
       CheckAttemptsAfterLeaving(client_try, requests_[client_try.id]);
@@ -52,7 +52,7 @@
     for (const auto& [id, history] : requests_) CheckAttempts(id, history);
     CheckDrains();
     CheckOverload();
-    std::sort(breaches_.begin(), breaches_.end(), [](const Breach& a, const Breach& b) {
+    std::sort(breaches_.begin(), breaches_.end(), [](const Violation& a, const Violation& b) {
       return std::pair(a.at, a.request) < std::pair(b.at, b.request);
     });
     return std::move(breaches_);
@@ -65,9 +65,9 @@
 
   // Whether an injected fault took the try's router down while the try was open.
   bool RouterWasDown(const TryRecord& client_try, Time until) const {
-    return std::any_of(truth_.absences.begin(), truth_.absences.end(), [&](const Absence& a) {
+    return std::any_of(truth_.outages.begin(), truth_.outages.end(), [&](const RouterOutage& a) {
       const bool late =
-          a.asked != Time(0) && client_try.sent > a.asked + kShutdownGrace && client_try.sent < a.from;
+          a.term_sent != Time(0) && client_try.sent > a.term_sent + kShutdownGrace && client_try.sent < a.from;
       return !late && a.router == client_try.router && client_try.sent <= a.until && until >= a.from;
     });
   }
@@ -75,7 +75,7 @@
   // For how long the router's process was suspended within that time.
   Duration SuspendedFor(int router, Time from, Time until) const {
     Duration all{0};
-    for (const Hold& h : truth_.holds) {
+    for (const RouterPause& h : truth_.pauses) {
       if (h.router != router) continue;
       all += std::max(Duration(0), std::min(until, h.until) - std::max(from, h.from));
     }
@@ -83,14 +83,14 @@
   }
 
   void CheckAttemptsAfterLeaving(const TryRecord& client_try, const RequestHistory& history) {
-    if (client_try.end != TryEnd::kLeft) return;
+    if (client_try.outcome != TryOutcome::kLeft) return;
     for (const AttemptRecord* attempt : history.attempts) {
-      const Duration delay = attempt->first - client_try.ended;
+      const Duration delay = attempt->first_byte_at - client_try.ended;
       if (delay <=
-          kMaxStartAfterLeave + slack_ + SuspendedFor(client_try.router, client_try.ended, attempt->first))
+          kMaxStartAfterLeave + slack_ + SuspendedFor(client_try.router, client_try.ended, attempt->first_byte_at))
         continue;
-      Add(Rule::kAnswer, client_try.id, attempt->machine, attempt->first,
-          "an attempt began " + InMs(delay) + " after its client left");
+      Add(Rule::kAnswer, client_try.id, attempt->server, attempt->first_byte_at,
+          "an attempt began " + FormatMs(delay) + " after its client left");
     }
   }
 
@@ -99,11 +99,11 @@
     for (const TryRecord& client_try : truth_.load.tries) {
       for (const AttemptRecord* attempt : requests_[client_try.id].attempts) {
         const Time due = client_try.sent + client_try.timeout;
-        if (!attempt->no_length || client_try.end == TryEnd::kLeft ||
-            attempt->end > std::min(due, client_try.ended) || RouterWasDown(client_try, due))
+        if (!attempt->no_length || client_try.outcome == TryOutcome::kLeft ||
+            attempt->ended_at > std::min(due, client_try.ended) || RouterWasDown(client_try, due))
           continue;
         ++complete;
-        passed += Served(client_try.end) && attempt->serial == client_try.serial;
+        passed += Served(client_try.outcome) && attempt->serial == client_try.serial;
       }
     }
     if (complete < kMinAnswersWithoutLength || 2 * passed >= complete) return;
@@ -114,46 +114,46 @@
 
   void CheckAnswer(const TryRecord& client_try, const RequestHistory& history) {
     // Never sent, cut off by the end of an interrupted run, or given up by its client.
-    if (client_try.sent == Time(0) || client_try.ended == Time(0) || client_try.end == TryEnd::kLeft)
+    if (client_try.sent == Time(0) || client_try.ended == Time(0) || client_try.outcome == TryOutcome::kLeft)
       return;
     const Time due = client_try.sent + client_try.timeout + truth_.scenario.rules.answer_slack + slack_ +
                      SuspendedFor(client_try.router, client_try.sent, client_try.ended);
     if (RouterWasDown(client_try, client_try.ended)) return;
-    switch (client_try.end) {
-      case TryEnd::kOpen:
+    switch (client_try.outcome) {
+      case TryOutcome::kOpen:
         return Add(Rule::kAnswer, client_try.id, -1, due, "no answer until its client gave up");
-      case TryEnd::kClosed:
+      case TryOutcome::kClosed:
         // A router may close an idle connection, so a request that it had not sent on is not lost: its
         // client sends it again. It is lost when that was already the second connection, when the
         // connection was new, or when an attempt had been sent.
-        if (client_try.resent || !client_try.pooled ||
+        if (client_try.resent || !client_try.on_reused_connection ||
             std::any_of(history.attempts.begin(), history.attempts.end(),
-                        [&](const AttemptRecord* attempt) { return attempt->whole <= client_try.ended; })) {
+                        [&](const AttemptRecord* attempt) { return attempt->received_at <= client_try.ended; })) {
           Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
               "the connection was closed without an answer");
         }
         return;
-      case TryEnd::kBad:
+      case TryOutcome::kMalformed:
         return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
                    "the answer is malformed or belongs to another request");
-      case TryEnd::kError:
+      case TryOutcome::kError:
         return Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
                    "a valid command was answered with a client error");
-      case TryEnd::kUnreachable:
+      case TryOutcome::kUnreachable:
         return;
       default:
         break;
     }
     if (client_try.ended > due) {
       Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
-          "answered " + InMs(client_try.ended - client_try.sent) + " after it was sent; its deadline is " +
-              InMs(client_try.timeout));
+          "answered " + FormatMs(client_try.ended - client_try.sent) + " after it was sent; its deadline is " +
+              FormatMs(client_try.timeout));
     }
-    if (Served(client_try.end)) {
+    if (Served(client_try.outcome)) {
       const bool made =
           std::any_of(history.attempts.begin(), history.attempts.end(), [&](const AttemptRecord* attempt) {
             return attempt->serial == client_try.serial &&
-                   (attempt->fate == Fate::kHit || attempt->fate == Fate::kServed);
+                   (attempt->outcome == AttemptOutcome::kHit || attempt->outcome == AttemptOutcome::kServed);
           });
       if (!made)
         Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
@@ -164,50 +164,50 @@
   void CheckAttempts(RequestId id, const RequestHistory& history) {
     if (history.last_try == nullptr) {
       for (const AttemptRecord* attempt : history.attempts) {
-        Add(Rule::kOnce, id, attempt->machine, attempt->whole, "an attempt without a client's request");
+        Add(Rule::kOnce, id, attempt->server, attempt->received_at, "an attempt without a client's request");
       }
       return;
     }
     const ClassPlan& plan =
-        truth_.scenario.classes[truth_.load.intents[history.last_try->intent].request_class];
+        truth_.scenario.classes[truth_.load.requests[history.last_try->request_index].request_class];
     // A request that its client sent again is a new request to the router that receives it.
     const auto resent_attempts = std::count_if(
         history.attempts.begin(), history.attempts.end(), [&history](const AttemptRecord* attempt) {
-          return history.last_try->resent && attempt->whole >= history.last_try->sent;
+          return history.last_try->resent && attempt->received_at >= history.last_try->sent;
         });
     const auto attempts =
         std::max<std::ptrdiff_t>(resent_attempts, std::ssize(history.attempts) - resent_attempts);
     if (attempts > truth_.scenario.rules.max_attempts) {
-      Add(Rule::kOnce, id, history.attempts.back()->machine, history.attempts.back()->whole,
+      Add(Rule::kOnce, id, history.attempts.back()->server, history.attempts.back()->received_at,
           std::to_string(attempts) + " attempts");
     }
     Time first_run{0};
     for (std::size_t i = 0; i < history.attempts.size(); ++i) {
       const AttemptRecord& attempt = *history.attempts[i];
       // When its connection closes and the client sends the request again, the repeat is the client's.
-      const bool by_client = history.last_try->resent && attempt.whole >= history.last_try->sent;
-      if (by_client && i > 0 && history.attempts[i - 1]->whole < history.last_try->sent)
+      const bool by_client = history.last_try->resent && attempt.received_at >= history.last_try->sent;
+      if (by_client && i > 0 && history.attempts[i - 1]->received_at < history.last_try->sent)
         first_run = Time(0);
       for (std::size_t j = 0; j < i; ++j) {
         const AttemptRecord& earlier = *history.attempts[j];
-        if (by_client && earlier.whole < history.last_try->sent) continue;
-        if (earlier.end == Time(0) || earlier.end > attempt.whole) {
-          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
-              "a second attempt while the one at " + Uid(earlier.machine) + " was open");
+        if (by_client && earlier.received_at < history.last_try->sent) continue;
+        if (earlier.ended_at == Time(0) || earlier.ended_at > attempt.received_at) {
+          Add(Rule::kOnce, id, attempt.server, attempt.received_at,
+              "a second attempt while the one at " + Uid(earlier.server) + " was open");
         }
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
-          Add(Rule::kOnce, id, attempt.machine, attempt.whole, "a write that may have run was sent again");
-        } else if (attempt.whole > first_run + plan.window + slack_ +
-                                       SuspendedFor(attempt.router, first_run, attempt.whole)) {
-          Add(Rule::kOnce, id, attempt.machine, attempt.whole,
+          Add(Rule::kOnce, id, attempt.server, attempt.received_at, "a write that may have run was sent again");
+        } else if (attempt.received_at > first_run + plan.window + slack_ +
+                                       SuspendedFor(attempt.router, first_run, attempt.received_at)) {
+          Add(Rule::kOnce, id, attempt.server, attempt.received_at,
               "a keyed write was sent again after its window");
         }
       }
-      if (first_run == Time(0) && MayHaveRun(attempt)) first_run = attempt.whole;
+      if (first_run == Time(0) && MayHaveRun(attempt)) first_run = attempt.received_at;
     }
-    if (plan.repeats == Repeats::kNever && first_run != Time(0) && history.last_try->end == TryEnd::kBusy) {
+    if (plan.repeats == Repeats::kNever && first_run != Time(0) && history.last_try->outcome == TryOutcome::kBusy) {
       Add(Rule::kOnce, id, -1, history.last_try->ended, "refused as not run, although it may have run");
     }
   }
@@ -216,7 +216,7 @@
   // configuration, and no fault of discovery made most calls fail.
   bool CouldReceiveList(int router, Time from, Time until) const {
     const auto within = [&](Time at) { return at > from && at < until; };
-    for (const Absence& a : truth_.absences) {
+    for (const RouterOutage& a : truth_.outages) {
       if (a.router == router && a.from < until && a.until > from) return false;
     }
     for (const ReloadRecord& r : truth_.reloads) {
@@ -262,13 +262,13 @@
       if (!first) it->second = std::min(it->second, notice.at);
     }
     for (const AttemptRecord& attempt : truth_.world.attempts) {
-      const auto it = notices.find({attempt.router, attempt.machine});
+      const auto it = notices.find({attempt.router, attempt.server});
       if (it == notices.end()) continue;
-      const Duration delay = attempt.first - it->second;
+      const Duration delay = attempt.first_byte_at - it->second;
       if (delay > truth_.scenario.rules.drain_grace + slack_ +
-                      SuspendedFor(attempt.router, it->second, attempt.first)) {
-        Add(Rule::kDrain, attempt.request, attempt.machine, attempt.first,
-            "sent to " + Uid(attempt.machine) + " " + InMs(delay) +
+                      SuspendedFor(attempt.router, it->second, attempt.first_byte_at)) {
+        Add(Rule::kDrain, attempt.request, attempt.server, attempt.first_byte_at,
+            "sent to " + Uid(attempt.server) + " " + FormatMs(delay) +
                 " after its router was notified that it leaves service");
       }
     }
@@ -278,82 +278,82 @@
     double max_work_s = 0;
     for (const ClassPlan& c : truth_.scenario.classes) max_work_s = std::max(max_work_s, c.work_ms / 1000);
     const RulePlan& rules = truth_.scenario.rules;
-    std::vector<OverloadMeter> meters(truth_.world.machines.size(),
+    std::vector<OverloadMeter> meters(truth_.world.servers.size(),
                                       OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s));
     std::vector<bool> overloaded(meters.size());
     std::vector<Time> counted_start(meters.size());  // the start of the process that each meter counts for
     for (const AttemptRecord& attempt : truth_.world.attempts) {
-      const auto n = static_cast<std::size_t>(attempt.machine);
-      const MachineRecord& server = truth_.world.machines[n];
-      if (attempt.machine == kOrigin || overloaded[n]) continue;
-      const Capacity then = server.CapacityAt(attempt.whole);
-      if (!then.Cold(attempt.whole)) continue;
+      const auto n = static_cast<std::size_t>(attempt.server);
+      const ServerRecord& server = truth_.world.servers[n];
+      if (attempt.server == kOrigin || overloaded[n]) continue;
+      const Capacity then = server.CapacityAt(attempt.received_at);
+      if (!then.IsCold(attempt.received_at)) continue;
       if (then.started != counted_start[n]) {
         meters[n] = OverloadMeter(rules.fall_multiple, rules.fall, 4 * max_work_s);
         counted_start[n] = then.started;
       }
-      const double full = meters[n].Add(attempt.whole, attempt.work_s, then.At(attempt.whole));
+      const double full = meters[n].Add(attempt.received_at, attempt.work_s, then.At(attempt.received_at));
       if (full <= 1) continue;
       overloaded[n] = true;
-      Add(Rule::kColdPush, attempt.request, attempt.machine, attempt.whole,
-          Uid(attempt.machine) + ", " + InMs(attempt.whole - then.started) +
+      Add(Rule::kColdOverload, attempt.request, attempt.server, attempt.received_at,
+          Uid(attempt.server) + ", " + FormatMs(attempt.received_at - then.started) +
               " after its start, was sent more than " + std::to_string(rules.fall_multiple).substr(0, 4) +
               " times its capacity");
     }
-    for (const Time fell : truth_.world.origin_fell) {
+    for (const Time fell : truth_.world.origin_overloads) {
       double all = 0, cold = 0;
       for (const AttemptRecord& attempt : truth_.world.attempts) {
-        if (attempt.machine != kOrigin || attempt.whole > fell ||
-            attempt.whole <= fell - truth_.scenario.origin.fall)
+        if (attempt.server != kOrigin || attempt.received_at > fell ||
+            attempt.received_at <= fell - truth_.scenario.origin.fall)
           continue;
         all += attempt.work_s;
         cold += attempt.after_cold_miss ? attempt.work_s : 0;
       }
       if (cold > 0.3 * all) {
-        Add(Rule::kColdPush, 0, kOrigin, fell,
+        Add(Rule::kColdOverload, 0, kOrigin, fell,
             "the origin was overloaded, with a large share of the load from misses at cold cache servers");
       }
     }
   }
 
-  std::string Uid(int server) const { return truth_.world.machines[static_cast<std::size_t>(server)].uid; }
+  std::string Uid(int server) const { return truth_.world.servers[static_cast<std::size_t>(server)].uid; }
 
-  const Truth& truth_;
+  const RunRecord& truth_;
   Duration slack_;
   std::unordered_map<RequestId, RequestHistory> requests_;
-  std::vector<Breach> breaches_;
+  std::vector<Violation> breaches_;
 };
 
 }  // namespace
 
-std::vector<Breach> Judge(const Truth& truth) { return RuleChecker(truth).Check(); }
+std::vector<Violation> CheckRules(const RunRecord& truth) { return RuleChecker(truth).Check(); }
 
-std::string Story(const Truth& truth, const Breach& breach) {
+std::string DescribeViolation(const RunRecord& truth, const Violation& violation) {
   std::ostringstream out;
-  const auto at = [&](Time t) { return InMs(t - truth.start); };
-  out << "rule '" << kRuleNames[static_cast<std::size_t>(breach.rule)] << "' violated at " << at(breach.at)
-      << ": " << breach.what << "\n";
-  if (breach.request == 0) return out.str();
-  const std::string id = IdText(breach.request);
+  const auto at = [&](Time t) { return FormatMs(t - truth.start); };
+  out << "rule '" << kRuleNames[static_cast<std::size_t>(violation.rule)] << "' violated at " << at(violation.at)
+      << ": " << violation.what << "\n";
+  if (violation.request == 0) return out.str();
+  const std::string id = FormatId(violation.request);
   out << "request " << id << "\n";
-  Time from = breach.at, until = breach.at;
+  Time from = violation.at, until = violation.at;
   for (const TryRecord& client_try : truth.load.tries) {
-    if (client_try.id != breach.request) continue;
-    const Intent& intent = truth.load.intents[client_try.intent];
+    if (client_try.id != violation.request) continue;
+    const ClientRequest& intent = truth.load.requests[client_try.request_index];
     out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
         << at(intent.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
-        << " to router " << client_try.router << " with a deadline of " << InMs(client_try.timeout)
+        << " to router " << client_try.router << " with a deadline of " << FormatMs(client_try.timeout)
         << (client_try.resent ? " (sent again)" : "") << "; "
-        << kTryNames[static_cast<std::size_t>(client_try.end)] << " at " << at(client_try.ended) << "\n";
+        << kTryOutcomeNames[static_cast<std::size_t>(client_try.outcome)] << " at " << at(client_try.ended) << "\n";
     from = std::min(from, client_try.sent);
     until = std::max(until, client_try.ended);
   }
   for (const AttemptRecord& attempt : truth.world.attempts) {
-    if (attempt.request != breach.request) continue;
-    out << "  " << truth.world.machines[static_cast<std::size_t>(attempt.machine)].uid << ": from router "
-        << attempt.router << ", first byte " << at(attempt.first) << ", complete " << at(attempt.whole)
-        << "; " << kFateNames[static_cast<std::size_t>(attempt.fate)];
-    if (attempt.end != Time(0)) out << " at " << at(attempt.end);
+    if (attempt.request != violation.request) continue;
+    out << "  " << truth.world.servers[static_cast<std::size_t>(attempt.server)].uid << ": from router "
+        << attempt.router << ", first byte " << at(attempt.first_byte_at) << ", complete " << at(attempt.received_at)
+        << "; " << kAttemptOutcomeNames[static_cast<std::size_t>(attempt.outcome)];
+    if (attempt.ended_at != Time(0)) out << " at " << at(attempt.ended_at);
     out << (attempt.applied ? "; applied" : "") << "\n";
   }
   for (std::size_t r = 0; r < truth.router_logs.size(); ++r) {
--- a/lab/truth/push_meter.h
+++ b/lab/truth/push_meter.h
@@ -24,7 +24,7 @@
         static_cast<double>((now - started).count()) / static_cast<double>(ramp.count());
     return full * (cold_from + (1 - cold_from) * std::max(0.0, ramp_share));
   }
-  bool Cold(Time now) const { return started != Time(0) && now < started + ramp; }
+  bool IsCold(Time now) const { return started != Time(0) && now < started + ramp; }
 };
 
 // A work budget for a sliding window of length `window`: `multiple` times the present capacity times the
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -23,7 +23,7 @@
 // another form.
 using RequestId = std::uint64_t;
 
-inline std::string IdText(RequestId id) {
+inline std::string FormatId(RequestId id) {
   char text[20];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
   return text;
@@ -37,29 +37,29 @@
 }
 
 // Formats a duration, for example as "12.34 ms".
-inline std::string InMs(Duration d) {
+inline std::string FormatMs(Duration d) {
   std::ostringstream out;
   out << static_cast<double>(d.count() / 10000) / 100 << " ms";
   return out.str();
 }
 
-constexpr int kOrigin = 0;  // index of the origin in WorldTruth::machines
+constexpr int kOrigin = 0;  // index of the origin in WorldRecord::servers
 
 // A cache server or the origin.
-struct MachineRecord {
+struct ServerRecord {
   std::string uid, kind;
   int hall = 0;
   Capacity capacity;
-  std::vector<Time> starts;  // times of its restarts, in order; capacity.started is the latest
-  Time gone{0};              // when its process ended; 0: it runs at the end
+  std::vector<Time> restarts;  // times of its restarts, in order; capacity.started is the latest
+  Time stopped_at{0};              // when its process ended; 0: it runs at the end
   bool overloaded = false;   // a cache server (while cold) or the origin stopped serving because of it
   // The capacity as it was at that moment. Guards against applying a later restart to work that was
   // received before it.
   Capacity CapacityAt(Time at) const {
     Capacity then = capacity;
-    if (starts.empty() || at >= capacity.started) return then;
+    if (restarts.empty() || at >= capacity.started) return then;
     then.started = first_started;
-    for (const Time start : starts) {
+    for (const Time start : restarts) {
       if (start <= at) then.started = start;
     }
     return then;
@@ -68,7 +68,7 @@
 };
 
 // How an attempt ended whose command or request was received completely by a server.
-enum class Fate : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kOpen,            // not ended yet
   kHit,             // served from the cache server's store
   kMiss,            // answered EN: no effect
@@ -80,15 +80,15 @@
   kReset,           // the server reset the connection
   kMalformed        // answered with garbage or with half of an answer
 };
-inline constexpr std::string_view kFateNames[] = {"open",   "hit",       "miss", "served", "turned away",
+inline constexpr std::string_view kAttemptOutcomeNames[] = {"open",   "hit",       "miss", "served", "turned away",
                                                   "failed", "swallowed", "cut",  "reset",  "spoilt"};
 
 struct AttemptRecord {
   RequestId request = 0;
-  int machine = 0, router = 0;
-  Time first{0}, whole{0};  // when the server read its first and its last byte
-  Time end{0};  // when its answer was written or its connection was found closed; 0: neither happened
-  Fate fate = Fate::kOpen;
+  int server = 0, router = 0;
+  Time first_byte_at{0}, received_at{0};  // when the server read its first and its last byte
+  Time ended_at{0};  // when its answer was written or its connection was found closed; 0: neither happened
+  AttemptOutcome outcome = AttemptOutcome::kOpen;
   bool write = false;
   bool applied = false;    // a write that took effect
   bool no_length = false;  // its answer was complete but stated no length, and ended with an orderly close
@@ -108,7 +108,7 @@
 
 // A connection between a router and a cache server was accepted (`up`) or ended.
 struct LinkRecord {
-  int machine = 0, router = 0;
+  int server = 0, router = 0;
   Time at{0};
   bool up = true;
 };
@@ -120,42 +120,42 @@
   bool refused = false;
 };
 
-struct WorldTruth {
-  std::vector<MachineRecord> machines;  // the origin first
+struct WorldRecord {
+  std::vector<ServerRecord> servers;  // the origin first
   std::vector<AttemptRecord> attempts;  // in the order in which they were received completely
   std::vector<RemovalNotice> removal_notices;
   std::vector<LinkRecord> links;  // connections to cache servers, in order of time
   std::vector<ListRecord> lists;  // answers of discovery, in order of time
-  std::vector<Time> origin_fell;  // when the origin stopped because it was overloaded
-  Duration lag{0};                // maximum lateness of the world's event loop
+  std::vector<Time> origin_overloads;  // when the origin stopped because it was overloaded
+  Duration max_lag{0};                // maximum lateness of the world's event loop
   Duration cpu{0};                // CPU time of the world's thread
-  std::uint64_t late = 0;         // how often its event loop was late by more than 20 ms
+  std::uint64_t late_ticks = 0;         // how often its event loop was late by more than 20 ms
 };
 
 // How one try of a client ended.
-enum class TryEnd : std::uint8_t {
+enum class TryOutcome : std::uint8_t {
   kOpen,         // no answer while its client waited
   kValue,        // served: a value
   kReceipt,      // served: the receipt of a write
   kBusy,         // refused with `SERVER_ERROR busy`: it did not run
   kFailed,       // SERVER_ERROR of another kind
   kError,        // CLIENT_ERROR or ERROR
-  kBad,          // the answer was malformed or belonged to another request
+  kMalformed,    // the answer was malformed or belonged to another request
   kClosed,       // the router closed the connection instead of answering
   kUnreachable,  // no connection was established; nothing was sent
   kLeft,         // its client closed the connection before the answer
 };
-inline constexpr std::string_view kTryNames[] = {"open",  "value",      "receipt", "busy",        "failed",
+inline constexpr std::string_view kTryOutcomeNames[] = {"open",  "value",      "receipt", "busy",        "failed",
                                                  "error", "unreadable", "closed",  "unreachable", "left"};
 
 struct TryRecord {
   RequestId id = 0;
-  std::uint32_t intent = 0;  // index of its Intent in LoadTruth::intents
+  std::uint32_t request_index = 0;  // index of its ClientRequest in LoadRecord::requests
   std::int16_t router = -1;
   std::uint8_t number = 0;  // 0: the first try
-  TryEnd end = TryEnd::kOpen;
+  TryOutcome outcome = TryOutcome::kOpen;
   bool resent = false;  // sent again on a new connection, because the reused one closed before an answer
-  bool pooled = false;  // sent on a connection that had been used before
+  bool on_reused_connection = false;  // sent on a connection that had been used before
   Time sent{0};         // when its last byte was handed to the kernel; 0: never
   Time ended{0};
   Duration timeout{0};       // the deadline that it states, counted from `sent`
@@ -164,15 +164,15 @@
 };
 
 // One request as a client wants it served, over all its tries.
-struct Intent {
+struct ClientRequest {
   Time at{0};  // when the schedule says to send it: latencies count from here
   std::uint8_t request_class = 0, tenant = 0, hall = 0;
   bool done = false, served = false;
   Time ended{0};
 };
 
-struct LoadTruth {
-  std::vector<Intent> intents;
+struct LoadRecord {
+  std::vector<ClientRequest> requests;
   std::vector<TryRecord> tries;
   Duration late_p999{0}, late_max{0};  // how far sending was behind the schedule
   Duration cpu{0};                     // CPU time of the load's thread
@@ -182,15 +182,15 @@
 };
 
 // A time in which a router's process was down because of an injected fault.
-struct Absence {
+struct RouterOutage {
   int router = 0;
   Time from{0}, until{0};
   Time launched{0};  // when it was started again
-  Time asked{0};     // when SIGTERM was sent, some time before it was killed; 0: no SIGTERM
+  Time term_sent{0};     // when SIGTERM was sent, some time before it was killed; 0: no SIGTERM
 };
 
 // A time in which a router's process was suspended by an injected fault.
-struct Hold {
+struct RouterPause {
   int router = 0;
   Time from{0}, until{0};
 };
@@ -201,13 +201,13 @@
   Time at{0};
 };
 
-struct Truth {
+struct RunRecord {
   Scenario scenario;
   Time start{0};  // when the load began
-  WorldTruth world;
-  LoadTruth load;
-  std::vector<Absence> absences;
-  std::vector<Hold> holds;
+  WorldRecord world;
+  LoadRecord load;
+  std::vector<RouterOutage> outages;
+  std::vector<RouterPause> pauses;
   std::vector<ReloadRecord> reloads;
   std::vector<std::string> router_logs;  // file names, by router
 };
--- a/lab/world/cache_server.cpp
+++ b/lab/world/cache_server.cpp
@@ -20,25 +20,25 @@
 
 void CacheServer::Restart() {
   store_.Clear();
-  MachineRecord& self = server_record();
-  if (self.starts.empty()) self.first_started = self.capacity.started;
+  ServerRecord& self = server_record();
+  if (self.restarts.empty()) self.first_started = self.capacity.started;
   self.capacity.started = loop().Now();
-  self.starts.push_back(self.capacity.started);
+  self.restarts.push_back(self.capacity.started);
   self.overloaded = false;
   meter_ = OverloadMeter(world_.scenario().rules.fall_multiple, world_.scenario().rules.fall, 0.2);
-  server_record().gone = Time(0);
+  server_record().stopped_at = Time(0);
   alive_ = true;
   SetLinks(Link::kUp);
 }
 
 void CacheServer::Kill() {
   alive_ = false;
-  server_record().gone = loop().Now();
+  server_record().stopped_at = loop().Now();
   SetLinks(Link::kRefused);
 }
 
 void CacheServer::OnConnected(Peer& peer) {
-  world_.truth().links.push_back({number(), peer.router, loop().Now(), true});
+  world_.record().links.push_back({number(), peer.router, loop().Now(), true});
   peer.over_limit = peers() > static_cast<std::size_t>(plan_.connections);
 }
 
@@ -73,25 +73,25 @@
   if (std::exchange(peer.fresh, false)) work += plan_.handshake_ms / 1000;
   const std::size_t record = RecordAttempt(peer, id, work, request.write);
   if (faults().hang) return;
-  MachineRecord& self = server_record();
+  ServerRecord& self = server_record();
   const Time now = loop().Now();
-  if (self.capacity.Cold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.overloaded = true;
+  if (self.capacity.IsCold(now) && meter_.Add(now, work, self.capacity.At(now)) > 1) self.overloaded = true;
   const bool refused = rejecting_ || self.overloaded || peer.over_limit;
   if (refused || !Enqueue(peer, record, work, stored ? request.key : std::string())) {
-    FinishAttempt(peer, record, Fate::kTurnedAway, "SERVER_ERROR busy\r\n");
+    FinishAttempt(peer, record, AttemptOutcome::kTurnedAway, "SERVER_ERROR busy\r\n");
   }
 }
 
 void CacheServer::OnWorkDone(Peer& peer, const Attempt& attempt) {
-  const AttemptRecord& attempt_record = world_.truth().attempts[attempt.record];
-  const std::string id = IdText(attempt_record.request);
+  const AttemptRecord& attempt_record = world_.record().attempts[attempt.record];
+  const std::string id = FormatId(attempt_record.request);
   if (attempt.key.empty()) {
     world_.RecordMiss(attempt_record.request, number());
-    return FinishAttempt(peer, attempt.record, Fate::kMiss, "EN O" + id + "\r\n");
+    return FinishAttempt(peer, attempt.record, AttemptOutcome::kMiss, "EN O" + id + "\r\n");
   }
   const std::string value =
       MakeValue(attempt_record.request, attempt_record.serial, SizeOf(world_.scenario(), attempt.key));
-  FinishAttempt(peer, attempt.record, Fate::kHit,
+  FinishAttempt(peer, attempt.record, AttemptOutcome::kHit,
                 "VA " + std::to_string(value.size()) + " O" + id + "\r\n" + value + "\r\n");
 }
 
--- a/lab/world/discovery.cpp
+++ b/lab/world/discovery.cpp
@@ -50,7 +50,7 @@
     lines_.emplace_back();
   }
   entries_[n] = {server, state, rev_};
-  const MachineRecord& server_record = world_.truth().machines[static_cast<std::size_t>(server)];
+  const ServerRecord& server_record = world_.record().servers[static_cast<std::size_t>(server)];
   const auto boot =
       std::chrono::duration_cast<std::chrono::milliseconds>(server_record.capacity.started).count();
   lines_[n] = {
@@ -100,7 +100,7 @@
   if (faults_.write_time > Duration(0)) return WriteList(peer, since, full_list, text);
   const bool reset = Chance(rng_, faults_.reset), half = reset || Chance(rng_, faults_.truncated);
   const std::string_view written = std::string_view(text).substr(0, half ? text.size() / 2 : text.size());
-  if (!half) world_.truth().lists.push_back({peer.router, loop().Now(), false});
+  if (!half) world_.record().lists.push_back({peer.router, loop().Now(), false});
   Write(peer, written);
   RecordNotices(peer, since, full_list, written);
   if (reset) {
@@ -111,7 +111,7 @@
 }
 
 void Discovery::WriteList(Peer& peer, std::int64_t since, bool full_list, const std::string& text) {
-  world_.truth().lists.push_back({peer.router, loop().Now(), false});
+  world_.record().lists.push_back({peer.router, loop().Now(), false});
   if (faults_.write_time > Duration(0)) {
     return WriteNextPiece({peer.id, since, full_list, text, 0}, faults_.write_time / kPieces);
   }
@@ -137,7 +137,7 @@
     if (e.state == ServiceState::kInService || (!full_list && e.rev <= since)) continue;
     const std::string entry = lines_[n].before + EndpointOf(lines_[n].port, peer.router) + lines_[n].after;
     if (written.find(entry) == written.npos) continue;
-    world_.truth().removal_notices.push_back({peer.router, e.server, loop().Now(), false});
+    world_.record().removal_notices.push_back({peer.router, e.server, loop().Now(), false});
   }
 }
 
@@ -150,7 +150,7 @@
       continue;
     }
     if (!AdmitCall() || Chance(rng_, faults_.busy)) {
-      world_.truth().lists.push_back({peer.router, loop().Now(), true});
+      world_.record().lists.push_back({peer.router, loop().Now(), true});
       Write(peer, HttpReply(503, "", ""));
       continue;
     }
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -19,25 +19,25 @@
   while (const auto next = work_queue_.StartNext()) StartWork(*next);
 }
 
-MachineRecord& BackendServer::server_record() {
-  return world_.truth().machines[static_cast<std::size_t>(number_)];
+ServerRecord& BackendServer::server_record() {
+  return world_.record().servers[static_cast<std::size_t>(number_)];
 }
 
 std::size_t BackendServer::RecordAttempt(Peer& peer, RequestId id, double work_s, bool write) {
   world_.OnAttempt(id, *this, peer.id);
   AttemptRecord attempt_record;
   attempt_record.request = id;
-  attempt_record.machine = number_;
+  attempt_record.server = number_;
   attempt_record.router = peer.router;
-  attempt_record.first = peer.first_byte;
-  attempt_record.whole = loop().Now();
+  attempt_record.first_byte_at = peer.first_byte;
+  attempt_record.received_at = loop().Now();
   attempt_record.write = write;
   attempt_record.work_s = static_cast<float>(work_s);
   attempt_record.serial = world_.NextSerial();
-  world_.truth().attempts.push_back(attempt_record);
-  const std::size_t record = world_.truth().attempts.size() - 1;
+  world_.record().attempts.push_back(attempt_record);
+  const std::size_t record = world_.record().attempts.size() - 1;
   peer.pending.push_back({record, false, {}});
-  if (faults_.hang) world_.truth().attempts[record].fate = Fate::kNeverAnswered;
+  if (faults_.hang) world_.record().attempts[record].outcome = AttemptOutcome::kNeverAnswered;
   return record;
 }
 
@@ -77,35 +77,35 @@
   if (Peer* peer = FindPeer(attempt.peer)) OnWorkDone(*peer, attempt);
 }
 
-void BackendServer::FinishAttempt(Peer& peer, std::size_t record, Fate fate, std::string text) {
-  AttemptRecord& attempt_record = world_.truth().attempts[record];
-  if (attempt_record.fate == Fate::kNeverAnswered) return;
+void BackendServer::FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome fate, std::string text) {
+  AttemptRecord& attempt_record = world_.record().attempts[record];
+  if (attempt_record.outcome == AttemptOutcome::kNeverAnswered) return;
   const double draw = Unit(rng_);
   if (draw < faults_.reset) {
-    attempt_record.fate = Fate::kReset;
-    attempt_record.end = loop().Now();
+    attempt_record.outcome = AttemptOutcome::kReset;
+    attempt_record.ended_at = loop().Now();
     return Close(peer, true);
   }
-  attempt_record.end = loop().Now();
+  attempt_record.ended_at = loop().Now();
   if (draw < faults_.reset + faults_.half) {
-    attempt_record.fate = Fate::kMalformed;
+    attempt_record.outcome = AttemptOutcome::kMalformed;
     QueueAnswer(peer, record, text.substr(0, text.size() / 2));
   } else if (draw < faults_.reset + faults_.half + faults_.garbage) {
-    attempt_record.fate = Fate::kMalformed;
+    attempt_record.outcome = AttemptOutcome::kMalformed;
     QueueAnswer(peer, record, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
-    attempt_record.fate = fate;
+    attempt_record.outcome = fate;
     QueueAnswer(peer, record, std::move(text));
   }
 }
 
 void BackendServer::OnClosed(Peer& peer, bool reset) {
-  if (number_ != kOrigin) world_.truth().links.push_back({number_, peer.router, loop().Now(), false});
+  if (number_ != kOrigin) world_.record().links.push_back({number_, peer.router, loop().Now(), false});
   for (const PendingAnswer& e : peer.pending) {
-    AttemptRecord& attempt_record = world_.truth().attempts[e.attempt];
-    if (attempt_record.end == Time(0)) attempt_record.end = loop().Now();
-    if (attempt_record.fate == Fate::kOpen)
-      attempt_record.fate = reset ? Fate::kReset : Fate::kClosedByRouter;
+    AttemptRecord& attempt_record = world_.record().attempts[e.attempt];
+    if (attempt_record.ended_at == Time(0)) attempt_record.ended_at = loop().Now();
+    if (attempt_record.outcome == AttemptOutcome::kOpen)
+      attempt_record.outcome = reset ? AttemptOutcome::kReset : AttemptOutcome::kClosedByRouter;
     const auto it = active_by_record_.find(e.attempt);
     if (it == active_by_record_.end()) continue;
     // The work is cancelled, as nobody waits for its result any more.
@@ -123,7 +123,7 @@
 }
 
 std::string BackendServer::MakeValue(RequestId id, std::uint32_t serial, std::size_t size) const {
-  std::string value = IdText(id) + ":" + std::to_string(serial) + ":";
+  std::string value = FormatId(id) + ":" + std::to_string(serial) + ":";
   if (value.size() < size) value.append(size - value.size(), 'v');
   return value;
 }
--- a/lab/world/origin.cpp
+++ b/lab/world/origin.cpp
@@ -34,7 +34,7 @@
     const double work =
         LogNormal(rng, plan_.work_ms, plan_.work_cv) / 1000 * (write ? plan_.write_times : 1);
     const std::size_t record = RecordAttempt(peer, asked, work, write);
-    AttemptRecord& attempt_record = world_.truth().attempts[record];
+    AttemptRecord& attempt_record = world_.record().attempts[record];
     attempt_record.after_cold_miss = !write && world_.MissedAtColdServer(asked);
     Pending pending;
     pending.request_class = world_.ClassOf(request.labels);
@@ -48,11 +48,11 @@
     pending_.emplace(record, std::move(pending));
     if (!faults().hang && !Enqueue(peer, record, work, key)) {
       pending_.erase(record);
-      FinishAttempt(peer, record, Fate::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
+      FinishAttempt(peer, record, AttemptOutcome::kTurnedAway, HttpReply(503, "X-Turned-Away: 1\r\n", ""));
     }
     if (overloaded && down_until_ <= now) {
       server_record().overloaded = true;
-      world_.truth().origin_fell.push_back(now);
+      world_.record().origin_overloads.push_back(now);
       return Stop(plan_.down);
     }
   }
@@ -62,14 +62,14 @@
 // complete and end with an orderly close, the others are truncated by a reset.
 void Origin::Reply(Peer& peer, std::size_t record, const std::string& body) {
   if (!Chance(rng_, faults().no_length)) {
-    return FinishAttempt(peer, record, Fate::kServed, HttpReply(200, "", body));
+    return FinishAttempt(peer, record, AttemptOutcome::kServed, HttpReply(200, "", body));
   }
   const bool complete = Chance(rng_, 0.5);
   const std::uint64_t id = peer.id;
   const std::string text = "HTTP/1.1 200 OK\r\n\r\n" + (complete ? body : body.substr(0, body.size() / 2));
-  FinishAttempt(peer, record, complete ? Fate::kServed : Fate::kMalformed, text);
-  AttemptRecord& attempt_record = world_.truth().attempts[record];
-  attempt_record.no_length = complete && attempt_record.fate == Fate::kServed;
+  FinishAttempt(peer, record, complete ? AttemptOutcome::kServed : AttemptOutcome::kMalformed, text);
+  AttemptRecord& attempt_record = world_.record().attempts[record];
+  attempt_record.no_length = complete && attempt_record.outcome == AttemptOutcome::kServed;
   EndWhenWritten(id, complete);
 }
 
@@ -85,7 +85,7 @@
 }
 
 void Origin::OnWorkDone(Peer& peer, const Attempt& attempt) {
-  AttemptRecord& attempt_record = world_.truth().attempts[attempt.record];
+  AttemptRecord& attempt_record = world_.record().attempts[attempt.record];
   const Pending pending = std::move(pending_[attempt.record]);
   pending_.erase(attempt.record);
   if (!attempt_record.write) {
--- a/lab/world/server.h
+++ b/lab/world/server.h
@@ -60,7 +60,7 @@
 
  protected:
   struct PendingAnswer {      // an attempt whose answer has not been written yet
-    std::size_t attempt = 0;  // index in WorldTruth::attempts
+    std::size_t attempt = 0;  // index in WorldRecord::attempts
     bool answered = false;
     std::string text;
   };
--- a/lab/world/world.cpp
+++ b/lab/world/world.cpp
@@ -11,11 +11,11 @@
     : scenario_(scenario),
       routers_(static_cast<int>(scenario.halls.size()) * scenario.routers.per_hall),
       uid_rng_(MakeRng(scenario.seed, Stream::kNames)) {
-  MachineRecord origin;
+  ServerRecord origin;
   origin.uid = "origin";
   origin.kind = "origin";
   origin.capacity.full = scenario.origin.cores;
-  truth_.machines.push_back(origin);
+  truth_.servers.push_back(origin);
   origin_ = std::make_unique<Origin>(*this, scenario.origin);
   // Discovery is not among the numbered servers, to which replacements are added during the run.
   for (auto& discovery : discoveries_) discovery = std::make_unique<Discovery>(*this, routers_);
@@ -30,15 +30,15 @@
 World::~World() = default;
 
 int World::AddServer(const NodePlan& plan, Time started) {
-  const int number = static_cast<int>(truth_.machines.size());
-  MachineRecord m;
+  const int number = static_cast<int>(truth_.servers.size());
+  ServerRecord m;
   char uid[16];
   std::snprintf(uid, sizeof uid, "s-%08x", uid_rng_());
   m.uid = uid;
   m.kind = plan.kind;
   m.hall = plan.hall;
   m.capacity = {plan.cores * plan.speed, plan.cold_from, started, plan.ramp};
-  truth_.machines.push_back(m);
+  truth_.servers.push_back(m);
   cache_servers_.push_back(std::make_unique<CacheServer>(*this, number, plan));
   in_service_.push_back(true);
   return number;
@@ -61,7 +61,7 @@
   }
 }
 
-std::vector<std::string> World::NodeEndpoints(int router) const {
+std::vector<std::string> World::CacheServerEndpoints(int router) const {
   std::vector<std::string> all;
   for (const auto& server : cache_servers_) all.push_back(server->endpoint(router));
   return all;
@@ -96,7 +96,7 @@
   const auto it = missed_.find(id);
   if (it == missed_.end()) return false;
   return std::any_of(it->second.begin(), it->second.end(), [&](int server) {
-    return truth_.machines[static_cast<std::size_t>(server)].capacity.Cold(loop_.Now());
+    return truth_.servers[static_cast<std::size_t>(server)].capacity.IsCold(loop_.Now());
   });
 }
 
@@ -352,9 +352,9 @@
   list_history_.push_back({loop_.Now(), discoveries_[0]->lines(), discoveries_[0]->rev()});
 }
 
-std::string World::Known(int router) { return KnownThen(router, Duration(0)); }
+std::string World::CurrentList(int router) { return ListAt(router, Duration(0)); }
 
-std::string World::KnownThen(int router, Duration ago) {
+std::string World::ListAt(int router, Duration ago) {
   const std::lock_guard lock(list_history_lock_);
   const Time then = Clock().Now() - ago;
   const ListSnapshot* list = &list_history_.front();
@@ -378,11 +378,11 @@
   Tick();
   loop_.Run();
   lag_.Stop();
-  truth_.lag = lag_.most();
-  truth_.late = lag_.late();
+  truth_.max_lag = lag_.most();
+  truth_.late_ticks = lag_.late();
   truth_.cpu = ThreadCpu();
 }
 
-WorldTruth World::TakeTruth() { return std::move(truth_); }
+WorldRecord World::TakeRecord() { return std::move(truth_); }
 
 }  // namespace brasswood::lab
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -32,10 +32,10 @@
     return discoveries_[which]->endpoint(router);
   }
   // From any thread, also during Run: the list as this router would receive it now.
-  std::string Known(int router);
+  std::string CurrentList(int router);
   // The same as it was `ago`, but not before the start.
-  std::string KnownThen(int router, Duration ago);
-  std::vector<std::string> NodeEndpoints(int router) const;
+  std::string ListAt(int router, Duration ago);
+  std::vector<std::string> CacheServerEndpoints(int router) const;
 
   // Serves until Stop. To be called on a thread of its own.
   void Run();
@@ -44,12 +44,12 @@
   // From any thread: Run returns soon.
   void Stop() { stop_ = true; }
   // After Run.
-  WorldTruth TakeTruth();
+  WorldRecord TakeRecord();
 
   // ---- For the servers ----
   const Scenario& scenario() const { return scenario_; }
   Loop& loop() { return loop_; }
-  WorldTruth& truth() { return truth_; }
+  WorldRecord& record() { return truth_; }
   // Below 0 until the load has begun.
   Duration SinceStart() const { return start_ == Time(0) ? Duration(-1) : loop_.Now() - start_; }
   std::size_t ClassOf(std::string_view labels) const;
@@ -86,7 +86,7 @@
   const Scenario scenario_;
   const int routers_;
   Loop loop_{true};
-  WorldTruth truth_;
+  WorldRecord truth_;
   Time start_{0};
   Rng uid_rng_;
   std::unique_ptr<Origin> origin_;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -27,10 +27,10 @@
   g_min_level = min_level;
 }
 
-bool Logs(Level level) { return level >= g_min_level && level != Level::kOff; }
+bool IsLogged(Level level) { return level >= g_min_level && level != Level::kOff; }
 
 LogLine::LogLine(Level level) {
-  if (!Logs(level)) return;
+  if (!IsLogged(level)) return;
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                       std::chrono::system_clock::now().time_since_epoch())
                       .count();
--- a/src/base/stable_hash.h
+++ b/src/base/stable_hash.h
@@ -18,7 +18,7 @@
 }
 // Maps random or hashed bits to a number in [0, 1).
 inline double ToUnitInterval(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
-// The hash of a text: FNV-1a, then Mix.
+// The hash of a text: FNV-1a, then MixBits.
 inline std::uint64_t StableHash(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ULL;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -22,7 +22,7 @@
 std::string RestartSite(const std::string& fault) { return FleetSite(fault) + kState; }
 
 std::string LogOf(const Outcome& outcome, int router) {
-  std::ifstream in(outcome.truth.router_logs[static_cast<std::size_t>(router)]);
+  std::ifstream in(outcome.record.router_logs[static_cast<std::size_t>(router)]);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -60,15 +60,15 @@
       const Outcome outcome = Play(RestartSite(kill + std::string(row.fault) + "\n"), {BRASSWOOD_PROGRAM},
                                    folder.path, {"length_s=6", "load.retries=2", "load.notice_ms=100"});
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
-      for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
+      for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
       std::set<int> away;
-      for (const Absence& a : outcome.truth.absences) {
+      for (const RouterOutage& a : outcome.record.outages) {
         away.insert(a.router);
         CHECK(a.launched >= a.from);
       }
       CHECK(static_cast<int>(away.size()) == row.restarted);
       CHECK(LogsWith(outcome, row.log_text) >= row.logs);
-      CHECK(Served(outcome.truth) > 0.6);
+      CHECK(Served(outcome.record) > 0.6);
     }
   }
 }
@@ -86,8 +86,8 @@
           std::string("[[fault]]\nkind = 'disk'\ndisk = '") + disk + "'\npart = 1\nat_s = 3\nfor_s = 1.5\n";
       const Outcome outcome = Play(RestartSite(fault), {BRASSWOOD_PROGRAM}, folder.path, {"length_s=7"});
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
-      for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
-      CHECK(Served(outcome.truth) > 0.97);
+      for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
+      CHECK(Served(outcome.record) > 0.97);
       if (*log_text != '\0') {
         CHECK(LogsWith(outcome, std::string("state not kept: ")) == kRouters);
         CHECK(LogsWith(outcome, log_text) == kRouters);
@@ -112,16 +112,16 @@
   const Outcome outcome =
       Play(RestartSite("[[fault]]\nkind = 'restart'\npart = 1\nat_s = 0.8\nfor_s = 0\ndown_ms = 200\n"),
            {BRASSWOOD_PROGRAM}, folder.path, {"discovery.calls_per_s=20", "length_s=5"});
-  for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
-  const auto refused = std::count_if(outcome.truth.world.lists.begin(), outcome.truth.world.lists.end(),
+  for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
+  const auto refused = std::count_if(outcome.record.world.lists.begin(), outcome.record.world.lists.end(),
                                      [](const ListRecord& l) { return l.refused; });
   CHECK(refused > 0);
-  CHECK(MeasureService(outcome.truth, 0).back[4] >= 0);  // each router received its list
+  CHECK(MeasureService(outcome.record, 0).back[4] >= 0);  // each router received its list
 }
 
 TEST_CASE("time to full service is computed from the recorded truth") {
   // 20 s, one request every 10 ms at one of two cache servers; the router is down from 8 s to 9 s.
-  Truth t;
+  RunRecord t;
   t.start = Time(std::chrono::seconds(1000));
   Scenario& s = t.scenario;
   s.length = std::chrono::seconds(20);
@@ -135,8 +135,8 @@
   f.at = std::chrono::seconds(8);
   f.down = std::chrono::seconds(1);
   s.faults = {f};
-  t.world.machines.resize(3);
-  for (MachineRecord& m : t.world.machines) m.capacity.full = 4;
+  t.world.servers.resize(3);
+  for (ServerRecord& m : t.world.servers) m.capacity.full = 4;
   const auto at = [&](double seconds) {
     return t.start + Duration(static_cast<std::int64_t>(seconds * 1e9));
   };
@@ -144,35 +144,35 @@
     const double now = i * 0.01;
     const bool late = now >= 8 && now < 11;    // in time again at 11 s
     const bool cold = now >= 8 && now < 12.5;  // hits again at 12.5 s
-    Intent intent;
+    ClientRequest intent;
     intent.at = at(now);
     intent.served = true;
     intent.ended = at(now + (late ? 0.3 : 0.02));
-    t.load.intents.push_back(intent);
+    t.load.requests.push_back(intent);
     AttemptRecord c;
     c.request = static_cast<RequestId>(i + 1);
-    c.machine = 1 + i % 2;
-    c.whole = c.first = at(now);
-    c.end = at(now + 0.01);
-    c.fate = cold ? Fate::kMiss : Fate::kHit;
+    c.server = 1 + i % 2;
+    c.received_at = c.first_byte_at = at(now);
+    c.ended_at = at(now + 0.01);
+    c.outcome = cold ? AttemptOutcome::kMiss : AttemptOutcome::kHit;
     c.work_s = 0.02f;
     t.world.attempts.push_back(c);
     if (!cold) continue;
-    c.machine = kOrigin;
-    c.fate = Fate::kServed;
+    c.server = kOrigin;
+    c.outcome = AttemptOutcome::kServed;
     c.work_s = 0.03f;
     t.world.attempts.push_back(c);
   }
   for (int n = 0; n < 20; ++n) t.world.links.push_back({1 + n % 2, 0, at(1), true});
   for (int n = 0; n < 20; ++n) t.world.links.push_back({1 + n % 2, 0, at(8), false});
   for (int n = 0; n < 20; ++n) t.world.links.push_back({1 + n % 2, 0, at(9.7), true});
-  t.absences.push_back({0, at(8), at(9.1), at(9)});
+  t.outages.push_back({0, at(8), at(9.1), at(9)});
   t.world.lists = {{0, at(0.5), false}, {0, at(9.2), true}, {0, at(9.8), false}};
   TryRecord r;
   r.router = 0;
   r.sent = at(9.2);
   r.ended = at(9.25);
-  r.end = TryEnd::kValue;
+  r.outcome = TryOutcome::kValue;
   t.load.tries.push_back(r);
   const ServiceFigures service = MeasureService(t, 0);
   CHECK(service.back[0] == Approx(2));    // in time at 11 s, 2 s after the end
@@ -188,7 +188,7 @@
   CHECK(service.connections == Approx(1));
   // A figure that never recovers is reported as negative.
   for (AttemptRecord& c : t.world.attempts) {
-    if (c.machine != kOrigin && c.whole > at(9)) c.fate = Fate::kMiss;
+    if (c.server != kOrigin && c.received_at > at(9)) c.outcome = AttemptOutcome::kMiss;
   }
   CHECK(MeasureService(t, 0).back[1] < 0);
   CHECK(MeasureService(t, 0).full < 0);
--- a/tests/lab/explore_test.cpp
+++ b/tests/lab/explore_test.cpp
@@ -18,10 +18,10 @@
 
 TEST_CASE("a chain of timeouts is found within 1000 schedules, and its trace can be reproduced") {
   std::ostringstream output, first, second;
-  CHECK(Explore(1, 1000, MakeChained, output) > 0);
+  CHECK(Explore(1, 1000, MakeChainedTimeouts, output) > 0);
   CHECK(output.str().find("BROKEN: unheard: version ") != std::string::npos);
-  ExploreSeed(7, MakeChained, &first);
-  ExploreSeed(7, MakeChained, &second);
+  ExploreSeed(7, MakeChainedTimeouts, &first);
+  ExploreSeed(7, MakeChainedTimeouts, &second);
   CHECK_FALSE(first.str().empty());
   CHECK(first.str() == second.str());
 }
@@ -43,7 +43,7 @@
   }
   const DiscoveryLoadFigures crowded = MeasureDiscoveryLoad({300, milliseconds(50), 1}, MakeRefresher);
   CHECK(crowded.all_received <= milliseconds(15010));
-  CHECK(MeasureDiscoveryLoad({300, milliseconds(50), 1}, MakeChained).all_received <
+  CHECK(MeasureDiscoveryLoad({300, milliseconds(50), 1}, MakeChainedTimeouts).all_received <
         brasswood::Duration(0));
 }
 
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 // Whether a time lies within the fault, with a margin of 100 ms at both ends for messages in transit.
-bool During(const Truth& t, Time at) {
+bool During(const RunRecord& t, Time at) {
   const FaultPlan& f = t.scenario.faults[0];
-  const Time from = t.start + f.at + std::chrono::milliseconds(100) + t.world.lag;
+  const Time from = t.start + f.at + std::chrono::milliseconds(100) + t.world.max_lag;
   return at >= from && at < t.start + f.at + f.length - std::chrono::milliseconds(100);
 }
 
@@ -25,13 +25,13 @@
   int all = 0, answered = 0, reset = 0;
   std::set<std::pair<int, int>> pairs, answered_pairs;  // (router, machine)
 };
-ObservedAttempts Observe(const Truth& t) {
+ObservedAttempts Observe(const RunRecord& t) {
   ObservedAttempts seen;
   for (const AttemptRecord& c : t.world.attempts) {
-    if (c.machine == kOrigin || !During(t, c.whole)) continue;
+    if (c.server == kOrigin || !During(t, c.received_at)) continue;
     ++seen.all;
-    seen.pairs.emplace(c.router, c.machine);
-    if (c.fate == Fate::kReset) ++seen.reset;
+    seen.pairs.emplace(c.router, c.server);
+    if (c.outcome == AttemptOutcome::kReset) ++seen.reset;
   }
   return seen;
 }
@@ -43,15 +43,15 @@
     const char* name;
     const char* fault;
     double served;  // minimum share of requests served; the fault itself makes some fail
-    void (*check_effect)(const Truth&, const ObservedAttempts&);
+    void (*check_effect)(const RunRecord&, const ObservedAttempts&);
   };
-  const auto none_crosses = [](const Truth& t, const ObservedAttempts& seen) {
+  const auto none_crosses = [](const RunRecord& t, const ObservedAttempts& seen) {
     // No attempt passed between a router and a server that the fault separates.
     const FaultPlan& f = t.scenario.faults[0];
     CHECK(seen.all > 0);
     if (f.kind == FaultKind::kPartition) {
       const auto routers = Groups(t.scenario, 0, kRouters, 1);
-      const auto nodes = Groups(t.scenario, 0, t.world.machines.size() - 1, 2);
+      const auto nodes = Groups(t.scenario, 0, t.world.servers.size() - 1, 2);
       for (const auto& [r, m] : seen.pairs) {
         CHECK(routers[static_cast<std::size_t>(r)] == nodes[static_cast<std::size_t>(m) - 1]);
       }
@@ -59,7 +59,7 @@
     }
     std::set<int> cut_machines;
     const std::vector<int> cut = VictimRouters(t.scenario, 0);
-    for (std::size_t m = 1; m < t.world.machines.size(); ++m) cut_machines.insert(static_cast<int>(m));
+    for (std::size_t m = 1; m < t.world.servers.size(); ++m) cut_machines.insert(static_cast<int>(m));
     for (const int r : cut) {
       for (const auto& [router, m] : seen.pairs) {
         if (router == r) cut_machines.erase(m);
@@ -74,28 +74,28 @@
       {"a link cut one way",
        "[[fault]]\nkind = 'link_cut'\nway = 'back'\ncount = 3\nrouter_part = 0.5\nat_s = 0.8\nfor_s = "
        "1.5\n",
-       0.9, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
+       0.9, [](const RunRecord&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
       {"a slow link",
        "[[fault]]\nkind = 'link_slow'\ncount = 7\ndelay_ms = 120\njitter_ms = 60\nat_s = 0.8\nfor_s = "
        "1.5\n",
        0.97,
-       [](const Truth& t, const ObservedAttempts&) {
+       [](const RunRecord& t, const ObservedAttempts&) {
          // No value reached its client in less than the delay during the fault.
          for (const TryRecord& r : t.load.tries) {
-           if (r.end != TryEnd::kValue || !During(t, r.sent) || !During(t, r.ended)) continue;
+           if (r.outcome != TryOutcome::kValue || !During(t, r.sent) || !During(t, r.ended)) continue;
            CHECK(r.ended - r.sent >= std::chrono::milliseconds(120));
          }
        }},
       {"a lossy link", "[[fault]]\nkind = 'link_lossy'\ncount = 7\nshare = 0.15\nat_s = 0.8\nfor_s = 1.5\n",
-       0.85, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
+       0.85, [](const RunRecord&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
       {"a partition", "[[fault]]\nkind = 'partition'\nsize = 2\nat_s = 0.8\nfor_s = 1.5\n", 0.9,
        none_crosses},
       {"a machine with its router", "[[fault]]\nkind = 'machine_drop'\ncount = 2\nat_s = 0.8\nfor_s = 1\n",
        0.85,
-       [](const Truth& t, const ObservedAttempts& seen) {
-         CHECK(t.absences.size() == 2);
+       [](const RunRecord& t, const ObservedAttempts& seen) {
+         CHECK(t.outages.size() == 2);
          for (const auto& [machine, router] : Dropped(t.scenario, 0)) {
-           CHECK(t.world.machines[static_cast<std::size_t>(machine)].starts.size() == 1);
+           CHECK(t.world.servers[static_cast<std::size_t>(machine)].restarts.size() == 1);
            for (const auto& [r, m] : seen.pairs) {
              CHECK(m != machine);
              CHECK(r != router);
@@ -103,16 +103,16 @@
          }
        }},
       {"neighbours", "[[fault]]\nkind = 'capacity_drop'\npart = 1\nshare = 0.5\nat_s = 0.8\nfor_s = 1.5\n",
-       0.97, [](const Truth&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
+       0.97, [](const RunRecord&, const ObservedAttempts& seen) { CHECK(seen.all > 0); }},
   };
   for (const Row& row : rows) {
     DYNAMIC_SECTION(row.name) {
       Folder folder;
       const Outcome outcome = Play(FleetSite(row.fault), {BRASSWOOD_PROGRAM}, folder.path);
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
-      for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
-      CHECK(Served(outcome.truth) >= row.served);
-      row.check_effect(outcome.truth, Observe(outcome.truth));
+      for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
+      CHECK(Served(outcome.record) >= row.served);
+      row.check_effect(outcome.record, Observe(outcome.record));
     }
   }
 }
@@ -123,23 +123,23 @@
   const Outcome outcome =
       Play(FleetSite("[[fault]]\nkind = 'link_cut'\ncount = 2\nrouter_part = 0.25\nat_s = 3\nfor_s = 3\n"),
            {BRASSWOOD_PROGRAM}, folder.path, {"length_s=6", "load.rate=200", "load.keys=60"});
-  for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
-  const Truth& t = outcome.truth;
+  for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
+  const RunRecord& t = outcome.record;
   const std::vector<int> cut = VictimRouters(t.scenario, 0);
   // Attempts by routers with intact links, counted by machine, before and during the fault.
   std::map<int, double> before, within;
   double all_before = 0, all_within = 0;
   for (const AttemptRecord& c : t.world.attempts) {
-    if (c.machine == kOrigin || std::find(cut.begin(), cut.end(), c.router) != cut.end()) continue;
-    const bool in = During(t, c.whole);
-    if (!in && c.whole > t.start + t.scenario.faults[0].at) continue;
-    (in ? within : before)[c.machine] += 1;
+    if (c.server == kOrigin || std::find(cut.begin(), cut.end(), c.router) != cut.end()) continue;
+    const bool in = During(t, c.received_at);
+    if (!in && c.received_at > t.start + t.scenario.faults[0].at) continue;
+    (in ? within : before)[c.server] += 1;
     (in ? all_within : all_before) += 1;
   }
   REQUIRE(all_before > 100);
   REQUIRE(all_within > 100);
   double moved = 0;
-  for (std::size_t m = 1; m < t.world.machines.size(); ++m) {
+  for (std::size_t m = 1; m < t.world.servers.size(); ++m) {
     const int machine = static_cast<int>(m);
     moved += std::abs(before[machine] / all_before - within[machine] / all_within) / 2;
   }
@@ -155,7 +155,7 @@
       Play(FleetSite("[[fault]]\nkind = 'silent'\ncount = 3\nat_s = 1\nfor_s = 3\n"), {BRASSWOOD_PROGRAM},
            folder.path, {"length_s=4", "load.rate=200", "load.busy_part=0.25", "load.busy_times=8"});
   ::unsetenv("BRASSWOOD_LOG");
-  const Truth& t = outcome.truth;
+  const RunRecord& t = outcome.record;
   const std::vector<double> weights = RouterWeights(t.scenario);
   double busy = 0, others = 0;
   for (const TryRecord& r : t.load.tries) {
@@ -165,7 +165,7 @@
   REQUIRE(std::count(weights.begin(), weights.end(), 8.0) == 6);
   CHECK(busy > others);  // 6 routers with weight 8 against 18 with weight 1: 48 to 18
   const auto avoided = ReadAvoidedShares(t);
-  REQUIRE(avoided.size() == t.world.machines.size());
+  REQUIRE(avoided.size() == t.world.servers.size());
   double most = 0, before = 0;
   for (std::size_t m = 1; m < avoided.size(); ++m) {
     before += avoided[m][0];
@@ -183,7 +183,7 @@
   const auto reasons_with = [&](Duration cpu, double idle, const char* what) {
     Outcome planted = outcome;
     planted.void_because.clear();
-    planted.truth.world.cpu = cpu;
+    planted.record.world.cpu = cpu;
     CheckRunValidity(planted, {idle, 3.0});
     return std::count_if(planted.void_because.begin(), planted.void_because.end(),
                          [&](const std::string& why) { return why.find(what) != why.npos; });
@@ -195,23 +195,23 @@
 }
 
 TEST_CASE("the spread of utilisation is computed from the recorded truth") {
-  Truth t;
+  RunRecord t;
   t.start = Time(std::chrono::seconds(1000));
   t.scenario.length = std::chrono::seconds(10);
-  t.world.machines.resize(3);
-  t.world.machines[1].capacity.full = 1;
-  t.world.machines[2].capacity.full = 3;
+  t.world.servers.resize(3);
+  t.world.servers[1].capacity.full = 1;
+  t.world.servers[2].capacity.full = 3;
   const auto attempt = [&](int machine, int at_ms) {
     AttemptRecord c;
-    c.machine = machine;
-    c.whole = t.start + std::chrono::milliseconds(at_ms);
+    c.server = machine;
+    c.received_at = t.start + std::chrono::milliseconds(at_ms);
     c.work_s = 0.1f;
     t.world.attempts.push_back(c);
   };
   for (int at = 0; at < 10000; at += 100) {
-    Intent i;
+    ClientRequest i;
     i.at = t.start + std::chrono::milliseconds(at);
-    t.load.intents.push_back(i);
+    t.load.requests.push_back(i);
   }
   // In proportion to capacity: even, although one server gets three times as many attempts as the other.
   for (int at = 0; at < 10000; at += 400) {
--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -135,26 +135,26 @@
 
 TEST_CASE("the client's parser accepts only well-formed answers to its own request") {
   const RequestId id = 0xabc;
-  const std::string o = " O" + IdText(id), mark = IdText(id) + ":7:vv";
+  const std::string o = " O" + FormatId(id), mark = FormatId(id) + ":7:vv";
   const std::string value = "VA " + std::to_string(mark.size()) + o + "\r\n" + mark + "\r\n";
   struct Case {
     std::string text;
     Parsed parsed;
-    TryEnd end;
+    TryOutcome end;
   };
   const Case cases[] = {
-      {value, Parsed::kDone, TryEnd::kValue},
-      {value + "x", Parsed::kDone, TryEnd::kValue},
-      {"HD" + o + " cr7\r\n", Parsed::kDone, TryEnd::kReceipt},
-      {"SERVER_ERROR busy 250\r\n", Parsed::kDone, TryEnd::kBusy},
-      {"SERVER_ERROR failed\r\n", Parsed::kDone, TryEnd::kFailed},
-      {"CLIENT_ERROR no id\r\n", Parsed::kDone, TryEnd::kError},
-      {"HD" + o + "\r\n", Parsed::kBad, TryEnd::kBad},
-      {"HD O0000000000000abd cr7\r\n", Parsed::kBad, TryEnd::kBad},
-      {"VA 3" + o + "\r\nabc\r\n", Parsed::kBad, TryEnd::kBad},
-      {"VA 70000" + o + "\r\n", Parsed::kBad, TryEnd::kBad},
-      {"EN\r\n", Parsed::kBad, TryEnd::kBad},
-      {std::string(5000, 'x'), Parsed::kBad, TryEnd::kBad},
+      {value, Parsed::kDone, TryOutcome::kValue},
+      {value + "x", Parsed::kDone, TryOutcome::kValue},
+      {"HD" + o + " cr7\r\n", Parsed::kDone, TryOutcome::kReceipt},
+      {"SERVER_ERROR busy 250\r\n", Parsed::kDone, TryOutcome::kBusy},
+      {"SERVER_ERROR failed\r\n", Parsed::kDone, TryOutcome::kFailed},
+      {"CLIENT_ERROR no id\r\n", Parsed::kDone, TryOutcome::kError},
+      {"HD" + o + "\r\n", Parsed::kBad, TryOutcome::kBad},
+      {"HD O0000000000000abd cr7\r\n", Parsed::kBad, TryOutcome::kBad},
+      {"VA 3" + o + "\r\nabc\r\n", Parsed::kBad, TryOutcome::kBad},
+      {"VA 70000" + o + "\r\n", Parsed::kBad, TryOutcome::kBad},
+      {"EN\r\n", Parsed::kBad, TryOutcome::kBad},
+      {std::string(5000, 'x'), Parsed::kBad, TryOutcome::kBad},
   };
   for (const Case& c : cases) {
     INFO(c.text);
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -31,7 +31,7 @@
       {"late-drain", drain, Rule::kDrain, {}},
       {"cold-push",
        replace,
-       Rule::kColdPush,
+       Rule::kColdOverload,
        {"nodes.0.handshake_ms=30", "nodes.0.cores=1", "load.rate=120"}},
   };
   for (const Row& row : rows) {
@@ -40,11 +40,11 @@
       const Outcome outcome =
           Play(Site(row.more), {BRASSWOOD_FAULTY, row.fault}, folder.path, row.overrides);
       REQUIRE(outcome.troubles.empty());
-      const auto found = std::count_if(outcome.breaches.begin(), outcome.breaches.end(),
-                                       [&](const Breach& b) { return b.rule == row.rule; });
+      const auto found = std::count_if(outcome.violations.begin(), outcome.violations.end(),
+                                       [&](const Violation& b) { return b.rule == row.rule; });
       CHECK(found > 0);
       // An overloaded cold server also answers late; every other fault breaks exactly one rule.
-      if (row.rule != Rule::kColdPush) CHECK(found == static_cast<long>(outcome.breaches.size()));
+      if (row.rule != Rule::kColdOverload) CHECK(found == static_cast<long>(outcome.violations.size()));
       CHECK(DecideVerdict(outcome, Measure(outcome)) == Verdict::kFailed);
     }
   }
@@ -55,7 +55,7 @@
   const Outcome outcome = Play(Site("[[fault]]\nkind = 'drain'\ncount = 1\nat_s = 0.3\nfor_s = 9\n"),
                                {BRASSWOOD_FAULTY, "honest"}, folder.path);
   CHECK(outcome.troubles.empty());
-  for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
+  for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
   CHECK(Measure(outcome).all.endings[0] > 100);
 }
 
@@ -85,7 +85,7 @@
       Folder folder;
       const Outcome outcome = Play(Site(faults), {BRASSWOOD_PROGRAM}, folder.path);
       for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
-      for (const Breach& b : outcome.breaches) FAIL_CHECK(Story(outcome.truth, b));
+      for (const Violation& b : outcome.violations) FAIL_CHECK(DescribeViolation(outcome.record, b));
       CHECK(Measure(outcome).asked > 50);
     }
   }
@@ -114,7 +114,7 @@
   World world(ReadScenario(Site(""), "test"));
   world.Stop();
   world.Run();
-  CHECK(world.TakeTruth().attempts.empty());
+  CHECK(world.TakeRecord().attempts.empty());
 }
 
 TEST_CASE("an interrupted run writes a valid partial result") {
@@ -127,7 +127,7 @@
   options.progress = [&](Duration, std::uint64_t sent, std::uint64_t) { interrupted = sent > 20; };
   const Outcome outcome = RunOnce(ReadScenario(Site(""), "test"), options);
   CHECK(outcome.partial);
-  CHECK(outcome.breaches.empty());
+  CHECK(outcome.violations.empty());
   WriteAll(folder.path, outcome, Measure(outcome));
   CHECK(std::filesystem::file_size(folder.path + "/result.json") > 1000);
   CHECK(std::filesystem::file_size(folder.path + "/report.html") > 1000);
--- a/tests/lab/site.h
+++ b/tests/lab/site.h
@@ -86,10 +86,10 @@
 }
 
 // The share of the intended requests that were served.
-inline double Served(const Truth& t) {
+inline double Served(const RunRecord& t) {
   double served = 0;
-  for (const Intent& i : t.load.intents) served += i.served;
-  return served / static_cast<double>(t.load.intents.size());
+  for (const ClientRequest& i : t.load.requests) served += i.served;
+  return served / static_cast<double>(t.load.requests.size());
 }
 
 inline Outcome Play(const std::string& scenario, std::vector<std::string> router, const std::string& folder,
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -64,6 +64,6 @@
 )";
   const Outcome outcome = Play(site, {BRASSWOOD_PROGRAM}, folder.path);
   for (const std::string& trouble : outcome.troubles) FAIL_CHECK(trouble);
-  CHECK(outcome.breaches.size() == 0);
-  CHECK(Served(outcome.truth) > 0.7);
+  CHECK(outcome.violations.size() == 0);
+  CHECK(Served(outcome.record) > 0.7);
 }
