--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -67,14 +67,14 @@
 void Load::SendDue() {
   const Time now = loop_.Now();
   while (next_ && start_ + next_->at <= now) {
-    ClientRequest intent;
-    intent.at = start_ + next_->at;
-    intent.request_class = next_->request_class;
-    intent.tenant = next_->tenant;
-    intent.hall = next_->hall;
-    truth_.requests.push_back(intent);
+    ClientRequest client_request;
+    client_request.at = start_ + next_->at;
+    client_request.request_class = next_->request_class;
+    client_request.tenant = next_->tenant;
+    client_request.hall = next_->hall;
+    truth_.requests.push_back(client_request);
     states_.push_back({*next_, 0, 0});
-    lateness_.push_back(now - intent.at);
+    lateness_.push_back(now - client_request.at);
     ++open_intents_;
     StartNextTry(static_cast<std::uint32_t>(truth_.requests.size() - 1));
     next_ = schedule_.Next();
@@ -82,11 +82,11 @@
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
 }
 
-// Sends a further try of the intent, with its own request id.
-void Load::StartNextTry(std::uint32_t intent) {
-  IntentState& state = states_[intent];
+// Sends a further try of the client_request, with its own request id.
+void Load::StartNextTry(std::uint32_t client_request) {
+  ClientRequestState& state = states_[client_request];
   const int number = state.tries + state.unreachable;
-  StartTry(intent, number == 0 ? state.arrival.id : Schedule::RetryId(state.arrival.id, number),
+  StartTry(client_request, number == 0 ? state.arrival.id : Schedule::RetryId(state.arrival.id, number),
            state.tries, false);
 }
 
@@ -108,13 +108,13 @@
   return up.back();
 }
 
-void Load::StartTry(std::uint32_t intent, RequestId id, int number, bool resent) {
-  const Arrival& a = states_[intent].arrival;
+void Load::StartTry(std::uint32_t client_request, RequestId id, int number, bool resent) {
+  const Arrival& a = states_[client_request].arrival;
   const ClassPlan& plan = scenario_.classes[a.request_class];
-  const Duration left = truth_.requests[intent].at + plan.give_up - loop_.Now();
+  const Duration left = truth_.requests[client_request].at + plan.give_up - loop_.Now();
   TryRecord client_try;
   client_try.id = id;
-  client_try.request_index = intent;
+  client_try.request_index = client_request;
   client_try.number = static_cast<std::uint8_t>(number);
   client_try.resent = resent;
   client_try.timeout =
@@ -328,17 +328,17 @@
   RetryOrFinish(done);
 }
 
-// After a try has ended: sends a further try, now or after a backoff, or ends the intent.
+// After a try has ended: sends a further try, now or after a backoff, or ends the client_request.
 void Load::RetryOrFinish(const TryRecord& client_try) {
-  ClientRequest& intent = truth_.requests[client_try.request_index];
-  IntentState& state = states_[client_try.request_index];
-  const ClassPlan& plan = scenario_.classes[intent.request_class];
+  ClientRequest& client_request = truth_.requests[client_try.request_index];
+  ClientRequestState& state = states_[client_try.request_index];
+  const ClassPlan& plan = scenario_.classes[client_request.request_class];
   const Time now = loop_.Now();
   const bool served = client_try.outcome == TryOutcome::kValue || client_try.outcome == TryOutcome::kReceipt;
   const bool unreachable = client_try.outcome == TryOutcome::kUnreachable;
   bool retry = !served && client_try.outcome != TryOutcome::kLeft;
   if (plan.repeats == Repeats::kNever) retry = retry && (client_try.outcome == TryOutcome::kBusy || unreachable);
-  if (plan.repeats == Repeats::kKeyed) retry = retry && now < intent.at + plan.window;
+  if (plan.repeats == Repeats::kKeyed) retry = retry && now < client_request.at + plan.window;
   retry = retry &&
           (unreachable ? ++state.unreachable <= kMaxUnreachable : state.tries < scenario_.load.retries);
   Duration wait{0};
@@ -348,13 +348,13 @@
                                               (0.5 + Unit(rng_)) * (1 << std::min(state.tries - 1, 10))));
     if (Chance(rng_, scenario_.load.honour)) wait = std::max(wait, client_try.retry_after);
   }
-  if (retry && now + wait + std::chrono::milliseconds(2) < intent.at + plan.give_up) {
+  if (retry && now + wait + std::chrono::milliseconds(2) < client_request.at + plan.give_up) {
     loop_.deadlines().Set(now + wait, [this, n = client_try.request_index] { StartNextTry(n); });
     return;
   }
-  intent.done = true;
-  intent.served = served;
-  intent.ended = now;
+  client_request.done = true;
+  client_request.served = served;
+  client_request.ended = now;
   --open_intents_;
   served_ += served;
 }
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -23,7 +23,7 @@
   Load(const Scenario& scenario, const std::vector<std::string>& routers);
   ~Load();
 
-  // Sends from `start` on until the scenario's length has passed and every intent has ended, or Stop. To be
+  // Sends from `start` on until the scenario's length has passed and every client_request has ended, or Stop. To be
   // called on a thread of its own.
   void Run(Time start);
   // From any thread: nothing more is sent, and Run returns soon. Requests that are open then stay open.
@@ -49,14 +49,14 @@
     bool flood = false;         // opened by a flood or crowd fault: carries no request
     bool crowd = false;         // with `flood`: asks once whether the router is ready
   };
-  struct IntentState {  // the state of an intent
+  struct ClientRequestState {  // the state of an client_request
     Arrival arrival;
     int tries = 0, unreachable = 0;
   };
 
   void SendDue();
-  void StartNextTry(std::uint32_t intent);
-  void StartTry(std::uint32_t intent, RequestId id, int number, bool resent);
+  void StartNextTry(std::uint32_t client_request);
+  void StartTry(std::uint32_t client_request, RequestId id, int number, bool resent);
   Connection* Open(int router, std::uint32_t client, bool flood);
   void OpenFloodConnection(int router, bool crowd);
   int PickRouter(int hall);
@@ -81,7 +81,7 @@
   Time start_{0};
   std::optional<Arrival> next_;
   LoadRecord truth_;
-  std::vector<IntentState> states_;  // by intent
+  std::vector<ClientRequestState> states_;  // by client_request
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
   std::vector<std::vector<std::uint64_t>> idle_;  // connections by client; the most recently used last
--- a/lab/load/schedule.h
+++ b/lab/load/schedule.h
@@ -28,7 +28,7 @@
   explicit Schedule(const Scenario& scenario);
   // The next arrival; none after the end of the scenario.
   std::optional<Arrival> Next();
-  // The id of a further try of the same intent.
+  // The id of a further try of the same client_request.
   static RequestId RetryId(RequestId first, int number) {
     return Mix(first ^ static_cast<std::uint64_t>(number) << 56);
   }
--- a/lab/report/figures.cpp
+++ b/lab/report/figures.cpp
@@ -58,9 +58,9 @@
 
  private:
   Ending EndingOf(std::size_t n) const {
-    const ClientRequest& intent = t_.load.requests[n];
-    if (intent.served) {
-      return intent.ended - intent.at <= s_.classes[intent.request_class].aim ? Ending::kInTime
+    const ClientRequest& client_request = t_.load.requests[n];
+    if (client_request.served) {
+      return client_request.ended - client_request.at <= s_.classes[client_request.request_class].aim ? Ending::kInTime
                                                                               : Ending::kLate;
     }
     if (last_[n] == nullptr) return Ending::kUnanswered;
@@ -90,22 +90,22 @@
     std::vector<LatencyHistogram> latencies(f_.bins.size());
     double worth = 0, worth_in_time = 0;
     for (std::size_t n = 0; n < t_.load.requests.size(); ++n) {
-      const ClientRequest& intent = t_.load.requests[n];
-      if (outcome_.partial && !intent.done) continue;
+      const ClientRequest& client_request = t_.load.requests[n];
+      if (outcome_.partial && !client_request.done) continue;
       const Ending ending = EndingOf(n);
-      const Duration took = intent.ended - intent.at;
-      if (Bin* bin = BinOf(intent.at)) {
+      const Duration took = client_request.ended - client_request.at;
+      if (Bin* bin = BinOf(client_request.at)) {
         ++bin->asked;
         ++bin->endings[static_cast<std::size_t>(ending)];
-        if (intent.served) latencies[static_cast<std::size_t>(bin - f_.bins.data())].Add(took);
+        if (client_request.served) latencies[static_cast<std::size_t>(bin - f_.bins.data())].Add(took);
       }
-      if (!IsCounted(intent.at)) continue;
+      if (!IsCounted(client_request.at)) continue;
       all.Add(ending, took);
-      classes[intent.request_class].Add(ending, took);
-      tenants[intent.tenant].Add(ending, took);
-      halls[intent.hall].Add(ending, took);
-      worth += s_.classes[intent.request_class].worth;
-      if (ending == Ending::kInTime) worth_in_time += s_.classes[intent.request_class].worth;
+      classes[client_request.request_class].Add(ending, took);
+      tenants[client_request.tenant].Add(ending, took);
+      halls[client_request.hall].Add(ending, took);
+      worth += s_.classes[client_request.request_class].worth;
+      if (ending == Ending::kInTime) worth_in_time += s_.classes[client_request.request_class].worth;
     }
     const auto fill = [](std::vector<ClassTally>& from, const auto& names, std::vector<ClassFigures>& to) {
       for (std::size_t i = 0; i < from.size(); ++i) {
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -339,9 +339,9 @@
   Time from = violation.at, until = violation.at;
   for (const TryRecord& client_try : truth.load.tries) {
     if (client_try.id != violation.request) continue;
-    const ClientRequest& intent = truth.load.requests[client_try.request_index];
-    out << "  client: " << truth.scenario.classes[intent.request_class].name << ", scheduled for "
-        << at(intent.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
+    const ClientRequest& client_request = truth.load.requests[client_try.request_index];
+    out << "  client: " << truth.scenario.classes[client_request.request_class].name << ", scheduled for "
+        << at(client_request.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
         << " to router " << client_try.router << " with a deadline of " << FormatMs(client_try.timeout)
         << (client_try.resent ? " (sent again)" : "") << "; "
         << kTryOutcomeNames[static_cast<std::size_t>(client_try.outcome)] << " at " << at(client_try.ended) << "\n";
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -77,7 +77,7 @@
   if (Peer* peer = FindPeer(attempt.peer)) OnWorkDone(*peer, attempt);
 }
 
-void BackendServer::FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome fate, std::string text) {
+void BackendServer::FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome outcome, std::string text) {
   AttemptRecord& attempt_record = world_.record().attempts[record];
   if (attempt_record.outcome == AttemptOutcome::kNeverAnswered) return;
   const double draw = Unit(rng_);
@@ -94,7 +94,7 @@
     attempt_record.outcome = AttemptOutcome::kMalformed;
     QueueAnswer(peer, record, "\x01\x7f?? noise " + std::to_string(rng_()) + "\r\n");
   } else {
-    attempt_record.outcome = fate;
+    attempt_record.outcome = outcome;
     QueueAnswer(peer, record, std::move(text));
   }
 }
--- a/lab/world/machine.h
+++ b/lab/world/machine.h
@@ -50,7 +50,7 @@
   std::size_t RecordAttempt(Peer& peer, RequestId id, double work_s, bool write);
   // Processes the attempt on a core, now or once one is free; false if the queue is full.
   bool Enqueue(Peer& peer, std::size_t record, double work_s, std::string key);
-  void FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome fate, std::string text);
+  void FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome outcome, std::string text);
   // The work of the attempt is done: writes its answer.
   virtual void OnWorkDone(Peer& peer, const Attempt& attempt) = 0;
   void OnClosed(Peer& peer, bool reset) override;
--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -144,11 +144,11 @@
     const double now = i * 0.01;
     const bool late = now >= 8 && now < 11;    // in time again at 11 s
     const bool cold = now >= 8 && now < 12.5;  // hits again at 12.5 s
-    ClientRequest intent;
-    intent.at = at(now);
-    intent.served = true;
-    intent.ended = at(now + (late ? 0.3 : 0.02));
-    t.load.requests.push_back(intent);
+    ClientRequest client_request;
+    client_request.at = at(now);
+    client_request.served = true;
+    client_request.ended = at(now + (late ? 0.3 : 0.02));
+    t.load.requests.push_back(client_request);
     AttemptRecord c;
     c.request = static_cast<RequestId>(i + 1);
     c.server = 1 + i % 2;
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -40,10 +40,10 @@
     truth.world.servers[2].uid = "s-2";
   }
   TryRecord& Try(RequestId id, int request_class, int sent, int ended, TryOutcome end) {
-    ClientRequest intent;
-    intent.at = At(sent);
-    intent.request_class = static_cast<std::uint8_t>(request_class);
-    truth.load.requests.push_back(intent);
+    ClientRequest client_request;
+    client_request.at = At(sent);
+    client_request.request_class = static_cast<std::uint8_t>(request_class);
+    truth.load.requests.push_back(client_request);
     TryRecord t;
     t.id = id;
     t.request_index = static_cast<std::uint32_t>(truth.load.requests.size() - 1);
@@ -56,14 +56,14 @@
     truth.load.tries.push_back(t);
     return truth.load.tries.back();
   }
-  AttemptRecord& Attempt(RequestId id, int server, int whole, int end, AttemptOutcome fate,
+  AttemptRecord& Attempt(RequestId id, int server, int whole, int end, AttemptOutcome outcome,
                          std::uint32_t serial = 1) {
     AttemptRecord c;
     c.request = id;
     c.server = server;
     c.first_byte_at = c.received_at = At(whole);
     c.ended_at = end < 0 ? Time(0) : At(end);
-    c.outcome = fate;
+    c.outcome = outcome;
     c.serial = serial;
     truth.world.attempts.push_back(c);
     return truth.world.attempts.back();
@@ -76,7 +76,7 @@
   struct Row {
     const char* what;
     std::function<void(Case&)> fill;
-    int breaches;
+    int violations;
     Rule rule;
   };
   const Row rows[] = {
@@ -171,7 +171,7 @@
        1, Rule::kAnswer},
       {"connection closed on its first command", [](Case& c) { c.Try(1, 0, 0, 5, TryOutcome::kClosed); }, 1,
        Rule::kAnswer},
-      {"a malformed answer", [](Case& c) { c.Try(1, 0, 0, 5, TryOutcome::kBad); }, 1, Rule::kAnswer},
+      {"a malformed answer", [](Case& c) { c.Try(1, 0, 0, 5, TryOutcome::kMalformed); }, 1, Rule::kAnswer},
       {"a value that another attempt made",
        [](Case& c) {
          c.Try(1, 0, 0, 100, TryOutcome::kValue);
@@ -334,7 +334,7 @@
     c.truth.load.tries.reserve(32);
     row.fill(c);
     const std::vector<Violation> found = CheckRules(c.truth);
-    CHECK(static_cast<int>(found.size()) == row.breaches);
+    CHECK(static_cast<int>(found.size()) == row.violations);
     for (const Violation& b : found) {
       CHECK(b.rule == row.rule);
       CHECK_THAT(DescribeViolation(c.truth, b), Catch::Contains(b.what));
@@ -357,8 +357,8 @@
       c.Try(id, 0, at, at + 3, TryOutcome::kValue);
       c.Attempt(id, 1, at, at + 2, AttemptOutcome::kHit).work_s = 0.1f;
     }
-    const auto breaches = CheckRules(c.truth);
-    const auto pushed = std::count_if(breaches.begin(), breaches.end(),
+    const auto violations = CheckRules(c.truth);
+    const auto pushed = std::count_if(violations.begin(), violations.end(),
                                       [](const Violation& b) { return b.rule == Rule::kColdOverload; });
     CHECK(pushed == (again ? 1 : 0));
   }
