--- a/include/beechledge/balancer.h
+++ b/include/beechledge/balancer.h
@@ -57,7 +57,7 @@
 
 // How a missing key is fetched: by the cache server itself (read-through), or by the balancer's own request
 // to the origin (cache-aside).
-enum class Origin { kThrough, kAside };
+enum class Origin { kReadThrough, kCacheAside };
 enum class ReportSource { kNone, kAnswers, kProbe };
 enum class Weights { kNone, kNominal, kRough, kLive };
 
@@ -70,16 +70,16 @@
   std::vector<Tenant> tenants;
   double over_share_worth = 1;
   bool worth_by_work = false;
-  bool list_must_be_asked = false;
+  bool list_by_request = false;
   // The list comes from a local agent that already has it by push, so its calls need not be spread out.
-  bool list_agent = false;
-  Origin origin = Origin::kThrough;
+  bool local_list_agent = false;
+  Origin origin = Origin::kReadThrough;
   int origin_kind = -1;
-  double origin_fall_multiple = 0;
-  Duration origin_fall{0};
+  double origin_overload_multiple = 0;
+  Duration origin_overload_window{0};
   ReportSource reports = ReportSource::kNone;
   Weights weights = Weights::kNone;
-  bool retry_marked = false;
+  bool mark_retries = false;
   struct {
     bool cancel = false;
     bool probes = false;
@@ -95,10 +95,10 @@
     Duration answer_slack{0};
     Duration ask_within{std::chrono::seconds(10)};
     Duration drain_grace{0};
-    double cold_from = 0.1;
+    double cold_start_share = 0.1;
     Duration ramp{std::chrono::seconds(30)};
-    double fall_multiple = 2;
-    Duration fall{std::chrono::seconds(1)};
+    double overload_multiple = 2;
+    Duration overload_window{std::chrono::seconds(1)};
   } rules;
   struct {
     double cross_zone = 0, waste = 0, origin = 0, probe = 0, late_fail = 0, handshake = 0;
@@ -121,12 +121,12 @@
   Time started{0};  // its last start; 0: long ago, so it is warm
 };
 
-enum class ListKind { kChanges, kAll, kRemembered, kRefused };
+enum class ListKind { kChanges, kAll, kPersisted, kRefused };
 
 struct ServerList {
   ListKind kind = ListKind::kAll;
   std::vector<ServerEntry> entries;
-  bool old = false;  // for kRemembered: servers in it may have been replaced since
+  bool stale = false;  // for kPersisted: servers in it may have been replaced since
 };
 
 struct NewRequest {
@@ -152,18 +152,19 @@
 enum class Result {
   kOk,
   kError,
-  kFull,
+  kRejected,
   kTimeout,
   kConnectFailed,
   kReset,
   kCancelled,
-  kMoot,
+  kObsolete,
   kMiss,
-  kSpoilt  // an unreadable answer: the request has run, and the server is working
+  kMalformed  // an unreadable answer: the request has run, and the server is working
 };
 // Whether this result proves that the attempt did not run.
-inline bool NeverRan(Result r) {
-  return r == Result::kFull || r == Result::kConnectFailed || r == Result::kMoot || r == Result::kMiss;
+inline bool DidNotRun(Result r) {
+  return r == Result::kRejected || r == Result::kConnectFailed || r == Result::kObsolete ||
+         r == Result::kMiss;
 }
 enum class Note { kNone, kHit, kMiss, kMissFetching };
 
@@ -236,7 +237,7 @@
 struct CloseIdle {
   ServerId server;
 };
-struct Tell {
+struct SendToPeers {
   int to;  // -1: all peers
   std::string bytes;
 };
@@ -244,13 +245,13 @@
   std::string text;
 };
 
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, SetTimer, Subscribe, FetchList, Probe, CloseIdle, Tell, Log>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Subscribe, FetchList, Probe, CloseIdle,
+                            SendToPeers, Log>;
 using Actions = std::vector<Action>;
 
 // ---- The module ----
 
-struct Kept;
+struct LearnedState;
 
 class Balancer {
  public:
@@ -262,16 +263,16 @@
   // Processes one event that happened at `now` and appends the resulting actions to `out`.
   void Handle(Time now, const Event& event, Actions& out);
 
-  // Keep exports what was learned about the servers that are up, with the holders of at most `max_keys`
-  // keys. Recall restores it, after a list that names the servers: `confidence` (0 to 1) scales the weight
-  // of the restored evidence, which is added to what is already known.
-  Kept Keep(Time now, std::size_t max_keys) const;
-  void Recall(Time now, const Kept& kept, double confidence);
+  // ExportState exports what was learned about the servers that are up, with the holders of at most
+  // `max_keys` keys. RestoreState restores it, after a list that names the servers: `confidence` (0 to 1)
+  // scales the weight of the restored evidence, which is added to what is already known.
+  LearnedState ExportState(Time now, std::size_t max_keys) const;
+  void RestoreState(Time now, const LearnedState& state, double confidence);
 
   // For metrics only: the servers listed as up, other than those of the origin's kind, that the module
   // avoids now by its own decision (ejected after failures, or in an unresponsive zone).
-  std::size_t Avoided() const;
-  bool Avoids(ServerId id) const;
+  std::size_t AvoidedCount() const;
+  bool IsAvoided(ServerId id) const;
 
  private:
   class Core;
--- a/include/beechledge/kept.h
+++ b/include/beechledge/kept.h
@@ -10,20 +10,21 @@
 
 namespace beechledge {
 
-struct Kept {
+struct LearnedState {
   struct Key {
     std::uint64_t key = 0;          // stable hash of the key
     std::vector<ServerId> holders;  // servers believed to hold it
   };
   struct Server {
     ServerId id = 0;
-    double looks = 0, log_time = 0;  // number of recent answers; mean logarithm of their latency in seconds
-    double log_weight = 0;           // logarithm of its weight, see sight/paces.h
-    Duration avoid{0};               // remaining ejection time; 0: not ejected
+    double samples = 0,
+           log_latency = 0;     // number of recent answers; mean logarithm of their latency in seconds
+    double log_weight = 0;      // logarithm of its weight, see sight/paces.h
+    Duration ejection_left{0};  // remaining ejection time; 0: not ejected
   };
   struct Origin {
     // Concurrent fetches allowed; seconds of an unqueued and of a usual fetch. 0: unknown.
-    double limit = 0, base = 0, usual = 0;
+    double max_fetches = 0, base_seconds = 0, usual_seconds = 0;
   };
   std::vector<Key> keys;  // most recently used first
   std::vector<Server> servers;
--- a/lab/explore/list_caller.cpp
+++ b/lab/explore/list_caller.cpp
@@ -9,7 +9,7 @@
 class Refresher : public ListCaller {
  public:
   explicit Refresher(const CallerPlan& plan)
-      : refresher_(plan.limits, beechledge::ListCalls(plan.settings), 1, plan.seed) {}
+      : refresher_(plan.limits, beechledge::ListCallBackoff(plan.settings), 1, plan.seed) {}
   void Follow(Time now, ListActions& out) override { refresher_.Follow(now, out); }
   void Move(Time now, SourceId to, ListActions& out) override { refresher_.Move(now, to, out); }
   void Connected(Time now, CallId id) override { refresher_.Connected(now, id); }
@@ -49,7 +49,7 @@
   }
   void Answered(Time now, CallId id, std::int64_t version, ListActions& out) override {
     if (id != call_) return;
-    pacing_.ListReceived(now);
+    pacing_.Confirmed(now);
     held_ = version;
     Open(now, out);
   }
@@ -74,11 +74,11 @@
   }
   void FailCall(Time now) {
     call_ = 0;
-    deadline_ = now + pacing_.Again(now, std::uniform_real_distribution<double>(0, 1)(random_));
+    deadline_ = now + pacing_.RetryDelay(now, std::uniform_real_distribution<double>(0, 1)(random_));
   }
 
   RefreshLimits limits_;
-  beechledge::ListCalls pacing_;
+  beechledge::ListCallBackoff pacing_;
   std::mt19937_64 random_;
   std::optional<std::int64_t> held_ = 1;
   SourceId source_ = 0;
@@ -92,6 +92,8 @@
 std::unique_ptr<ListCaller> MakeRefresher(const CallerPlan& plan) {
   return std::make_unique<Refresher>(plan);
 }
-std::unique_ptr<ListCaller> MakeChainedTimeouts(const CallerPlan& plan) { return std::make_unique<Chained>(plan); }
+std::unique_ptr<ListCaller> MakeChainedTimeouts(const CallerPlan& plan) {
+  return std::make_unique<Chained>(plan);
+}
 
 }  // namespace brasswood::lab
--- a/lab/explore/list_exploration.cpp
+++ b/lab/explore/list_exploration.cpp
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kLength = std::chrono::seconds(40);
-constexpr Duration kNotifiedWithin = beechledge::ListCalls::kTold;
+constexpr Duration kNotifiedWithin = beechledge::ListCallBackoff::kMaxNotifyDelay;
 constexpr Duration kMargin = milliseconds(150);  // a router may be delayed this long
 // After a change of address, what an agent has counts as received this much later.
 constexpr Duration kAgentMoveTime = std::chrono::seconds(4);
@@ -95,7 +95,7 @@
     CallerPlan plan;
     plan.seed = Mix(seed * 179 + static_cast<std::uint64_t>(r));
     plan.settings.balancers = fleet;
-    plan.settings.list_agent = agent_;
+    plan.settings.local_list_agent = agent_;
     plan.settings.rules.drain_grace = grace_;
     plan.limits.watch = milliseconds(3000) - Between(milliseconds(0), milliseconds(500));
     plan.limits.watch_grace = plan.limits.connect = milliseconds(1000);
--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -33,7 +33,7 @@
   kLateAnswer,    // some answers are sent after the deadline
   kForeignValue,  // some values are invented by the router
   kLateDrain,     // the first change of the server list is ignored, and the list never read again
-  kColdOverload,      // all reads go to the cache server that started last
+  kColdOverload,  // all reads go to the cache server that started last
   kTwoAtOnce,     // reads go to two cache servers at the same time
   kRefusedRun     // writes that ran are refused as not run
 };
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -315,8 +315,8 @@
   loop_.deadlines().Cancel(connection.deadline);
   loop_.deadlines().Cancel(connection.leave_timer);
   const TryRecord done = client_try;
-  const bool complete = end == TryOutcome::kValue || end == TryOutcome::kReceipt || end == TryOutcome::kBusy ||
-                        end == TryOutcome::kFailed || end == TryOutcome::kError;
+  const bool complete = end == TryOutcome::kValue || end == TryOutcome::kReceipt ||
+                        end == TryOutcome::kBusy || end == TryOutcome::kFailed || end == TryOutcome::kError;
   if (complete && scenario_.load.pool != Pool::kDrop) {
     KeepConnection(connection);
   } else {
@@ -334,10 +334,12 @@
   ClientRequestState& state = states_[client_try.request_index];
   const ClassPlan& plan = scenario_.classes[client_request.request_class];
   const Time now = loop_.Now();
-  const bool served = client_try.outcome == TryOutcome::kValue || client_try.outcome == TryOutcome::kReceipt;
+  const bool served =
+      client_try.outcome == TryOutcome::kValue || client_try.outcome == TryOutcome::kReceipt;
   const bool unreachable = client_try.outcome == TryOutcome::kUnreachable;
   bool retry = !served && client_try.outcome != TryOutcome::kLeft;
-  if (plan.repeats == Repeats::kNever) retry = retry && (client_try.outcome == TryOutcome::kBusy || unreachable);
+  if (plan.repeats == Repeats::kNever)
+    retry = retry && (client_try.outcome == TryOutcome::kBusy || unreachable);
   if (plan.repeats == Repeats::kKeyed) retry = retry && now < client_request.at + plan.window;
   retry = retry &&
           (unreachable ? ++state.unreachable <= kMaxUnreachable : state.tries < scenario_.load.retries);
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -23,8 +23,8 @@
   Load(const Scenario& scenario, const std::vector<std::string>& routers);
   ~Load();
 
-  // Sends from `start` on until the scenario's length has passed and every client_request has ended, or Stop. To be
-  // called on a thread of its own.
+  // Sends from `start` on until the scenario's length has passed and every client_request has ended, or
+  // Stop. To be called on a thread of its own.
   void Run(Time start);
   // From any thread: nothing more is sent, and Run returns soon. Requests that are open then stay open.
   void Stop() { stop_ = true; }
--- a/lab/report/figures.cpp
+++ b/lab/report/figures.cpp
@@ -60,8 +60,9 @@
   Ending EndingOf(std::size_t n) const {
     const ClientRequest& client_request = t_.load.requests[n];
     if (client_request.served) {
-      return client_request.ended - client_request.at <= s_.classes[client_request.request_class].aim ? Ending::kInTime
-                                                                              : Ending::kLate;
+      return client_request.ended - client_request.at <= s_.classes[client_request.request_class].aim
+                 ? Ending::kInTime
+                 : Ending::kLate;
     }
     if (last_[n] == nullptr) return Ending::kUnanswered;
     switch (last_[n]->outcome) {
@@ -69,7 +70,7 @@
         return Ending::kRefused;
       case TryOutcome::kFailed:
       case TryOutcome::kError:
-      case TryOutcome::kBad:
+      case TryOutcome::kMalformed:
         return Ending::kFailed;
       default:
         return Ending::kUnanswered;
@@ -174,7 +175,8 @@
     for (std::size_t m = 0; m < all.size(); ++m) {
       const ServerRecord& record = t_.world.servers[m];
       const Time from = std::max(record.capacity.started, t_.start + s_.warm_up);
-      const Time until = std::min(record.stopped_at == Time(0) ? Time::max() : record.stopped_at, t_.start + s_.length);
+      const Time until =
+          std::min(record.stopped_at == Time(0) ? Time::max() : record.stopped_at, t_.start + s_.length);
       all[m].uid = record.uid;
       all[m].hall = s_.halls[static_cast<std::size_t>(record.hall)];
       all[m].cold_start = record.capacity.started != Time(0);
--- a/lab/report/service.cpp
+++ b/lab/report/service.cpp
@@ -123,7 +123,8 @@
   Series Hits() const {
     Series s(bins_);
     for (const AttemptRecord& c : t_.world.attempts) {
-      if (c.server == kOrigin || (c.outcome != AttemptOutcome::kHit && c.outcome != AttemptOutcome::kMiss)) continue;
+      if (c.server == kOrigin || (c.outcome != AttemptOutcome::kHit && c.outcome != AttemptOutcome::kMiss))
+        continue;
       s.Add(BinOf(c.received_at), c.outcome == AttemptOutcome::kHit, 1);
     }
     return s;
@@ -157,7 +158,8 @@
     double most = 0, sum = 0, weight = 0;
     for (std::size_t m = 1; m < work.size(); ++m) {
       const ServerRecord& r = t_.world.servers[m];
-      if (r.capacity.IsCold(from) || r.capacity.started > from || (r.stopped_at != Time(0) && r.stopped_at < to))
+      if (r.capacity.IsCold(from) || r.capacity.started > from ||
+          (r.stopped_at != Time(0) && r.stopped_at < to))
         continue;
       double use = 0;
       for (std::size_t b = bin; b < std::min(bin + 4, bins_); ++b) use += work[m][b];
@@ -210,7 +212,8 @@
         if (r.router != a.router || r.sent < a.launched) continue;
         asked = std::min(asked, r.sent);
         const bool served = r.outcome == TryOutcome::kValue || r.outcome == TryOutcome::kReceipt;
-        if (!served || r.ended - r.sent > s_.classes[t_.load.requests[r.request_index].request_class].aim) continue;
+        if (!served || r.ended - r.sent > s_.classes[t_.load.requests[r.request_index].request_class].aim)
+          continue;
         first = std::min(first, r.ended);
       }
       if (first == Time::max()) continue;  // it got no request, or it was stopped again
--- a/lab/report/write.cpp
+++ b/lab/report/write.cpp
@@ -252,8 +252,8 @@
       << "\n"
       << "  laboratory: " << f.routers.size() << " routers ready in " << std::setprecision(2) << f.ready_s
       << " s, emulator " << static_cast<double>(outcome.record.world.cpu.count()) / 1e9 << " s and load "
-      << static_cast<double>(outcome.record.load.cpu.count()) / 1e9 << " s of their cores, emulator at most "
-      << FormatMs(outcome.record.world.max_lag) << " late\n";
+      << static_cast<double>(outcome.record.load.cpu.count()) / 1e9
+      << " s of their cores, emulator at most " << FormatMs(outcome.record.world.max_lag) << " late\n";
   for (const FaultFigures& x : f.faults) {
     out << "  " << x.kind << " from " << x.from_s << " to " << x.until_s << " s: in time " << x.before
         << " before, " << x.lowest << " in the worst second; ";
--- a/lab/run/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -418,8 +418,8 @@
   const auto share = [](double part) { return std::to_string(static_cast<int>(part * 100)) + "%"; };
   const double ticks = std::max(1.0, duration_s / 0.005);
   if (static_cast<double>(t.world.late_ticks) / ticks > kMaxLateShare) {
-    out.void_because.push_back("the emulator's loop was late " + std::to_string(t.world.late_ticks) + " times (" +
-                               share(kMaxLateShare) + " of its ticks allowed)");
+    out.void_because.push_back("the emulator's loop was late " + std::to_string(t.world.late_ticks) +
+                               " times (" + share(kMaxLateShare) + " of its ticks allowed)");
   }
   for (const auto& [who, cpu] : {std::pair("emulator", t.world.cpu), std::pair("load", t.load.cpu)}) {
     const double of_core = static_cast<double>(cpu.count()) / 1e9 / std::max(0.1, duration_s);
@@ -432,8 +432,8 @@
                                " of the run (" + share(kMinIdleShare) + " at least)");
   }
   if (t.world.max_lag > kMaxLag) {
-    out.void_because.push_back("the emulator's loop ran " + FormatMs(t.world.max_lag) + " late (" + FormatMs(kMaxLag) +
-                               " allowed)");
+    out.void_because.push_back("the emulator's loop ran " + FormatMs(t.world.max_lag) + " late (" +
+                               FormatMs(kMaxLag) + " allowed)");
   }
 }
 
--- a/lab/truth/judge.cpp
+++ b/lab/truth/judge.cpp
@@ -66,8 +66,8 @@
   // Whether an injected fault took the try's router down while the try was open.
   bool RouterWasDown(const TryRecord& client_try, Time until) const {
     return std::any_of(truth_.outages.begin(), truth_.outages.end(), [&](const RouterOutage& a) {
-      const bool late =
-          a.term_sent != Time(0) && client_try.sent > a.term_sent + kShutdownGrace && client_try.sent < a.from;
+      const bool late = a.term_sent != Time(0) && client_try.sent > a.term_sent + kShutdownGrace &&
+                        client_try.sent < a.from;
       return !late && a.router == client_try.router && client_try.sent <= a.until && until >= a.from;
     });
   }
@@ -86,8 +86,8 @@
     if (client_try.outcome != TryOutcome::kLeft) return;
     for (const AttemptRecord* attempt : history.attempts) {
       const Duration delay = attempt->first_byte_at - client_try.ended;
-      if (delay <=
-          kMaxStartAfterLeave + slack_ + SuspendedFor(client_try.router, client_try.ended, attempt->first_byte_at))
+      if (delay <= kMaxStartAfterLeave + slack_ +
+                       SuspendedFor(client_try.router, client_try.ended, attempt->first_byte_at))
         continue;
       Add(Rule::kAnswer, client_try.id, attempt->server, attempt->first_byte_at,
           "an attempt began " + FormatMs(delay) + " after its client left");
@@ -114,7 +114,8 @@
 
   void CheckAnswer(const TryRecord& client_try, const RequestHistory& history) {
     // Never sent, cut off by the end of an interrupted run, or given up by its client.
-    if (client_try.sent == Time(0) || client_try.ended == Time(0) || client_try.outcome == TryOutcome::kLeft)
+    if (client_try.sent == Time(0) || client_try.ended == Time(0) ||
+        client_try.outcome == TryOutcome::kLeft)
       return;
     const Time due = client_try.sent + client_try.timeout + truth_.scenario.rules.answer_slack + slack_ +
                      SuspendedFor(client_try.router, client_try.sent, client_try.ended);
@@ -127,8 +128,9 @@
         // client sends it again. It is lost when that was already the second connection, when the
         // connection was new, or when an attempt had been sent.
         if (client_try.resent || !client_try.on_reused_connection ||
-            std::any_of(history.attempts.begin(), history.attempts.end(),
-                        [&](const AttemptRecord* attempt) { return attempt->received_at <= client_try.ended; })) {
+            std::any_of(
+                history.attempts.begin(), history.attempts.end(),
+                [&](const AttemptRecord* attempt) { return attempt->received_at <= client_try.ended; })) {
           Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
               "the connection was closed without an answer");
         }
@@ -146,14 +148,14 @@
     }
     if (client_try.ended > due) {
       Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
-          "answered " + FormatMs(client_try.ended - client_try.sent) + " after it was sent; its deadline is " +
-              FormatMs(client_try.timeout));
+          "answered " + FormatMs(client_try.ended - client_try.sent) +
+              " after it was sent; its deadline is " + FormatMs(client_try.timeout));
     }
     if (Served(client_try.outcome)) {
       const bool made =
           std::any_of(history.attempts.begin(), history.attempts.end(), [&](const AttemptRecord* attempt) {
-            return attempt->serial == client_try.serial &&
-                   (attempt->outcome == AttemptOutcome::kHit || attempt->outcome == AttemptOutcome::kServed);
+            return attempt->serial == client_try.serial && (attempt->outcome == AttemptOutcome::kHit ||
+                                                            attempt->outcome == AttemptOutcome::kServed);
           });
       if (!made)
         Add(Rule::kAnswer, client_try.id, -1, client_try.ended,
@@ -164,7 +166,8 @@
   void CheckAttempts(RequestId id, const RequestHistory& history) {
     if (history.last_try == nullptr) {
       for (const AttemptRecord* attempt : history.attempts) {
-        Add(Rule::kOnce, id, attempt->server, attempt->received_at, "an attempt without a client's request");
+        Add(Rule::kOnce, id, attempt->server, attempt->received_at,
+            "an attempt without a client's request");
       }
       return;
     }
@@ -198,16 +201,18 @@
       }
       if (plan.repeats != Repeats::kFree && first_run != Time(0)) {
         if (plan.repeats == Repeats::kNever) {
-          Add(Rule::kOnce, id, attempt.server, attempt.received_at, "a write that may have run was sent again");
+          Add(Rule::kOnce, id, attempt.server, attempt.received_at,
+              "a write that may have run was sent again");
         } else if (attempt.received_at > first_run + plan.window + slack_ +
-                                       SuspendedFor(attempt.router, first_run, attempt.received_at)) {
+                                             SuspendedFor(attempt.router, first_run, attempt.received_at)) {
           Add(Rule::kOnce, id, attempt.server, attempt.received_at,
               "a keyed write was sent again after its window");
         }
       }
       if (first_run == Time(0) && MayHaveRun(attempt)) first_run = attempt.received_at;
     }
-    if (plan.repeats == Repeats::kNever && first_run != Time(0) && history.last_try->outcome == TryOutcome::kBusy) {
+    if (plan.repeats == Repeats::kNever && first_run != Time(0) &&
+        history.last_try->outcome == TryOutcome::kBusy) {
       Add(Rule::kOnce, id, -1, history.last_try->ended, "refused as not run, although it may have run");
     }
   }
@@ -331,8 +336,8 @@
 std::string DescribeViolation(const RunRecord& truth, const Violation& violation) {
   std::ostringstream out;
   const auto at = [&](Time t) { return FormatMs(t - truth.start); };
-  out << "rule '" << kRuleNames[static_cast<std::size_t>(violation.rule)] << "' violated at " << at(violation.at)
-      << ": " << violation.what << "\n";
+  out << "rule '" << kRuleNames[static_cast<std::size_t>(violation.rule)] << "' violated at "
+      << at(violation.at) << ": " << violation.what << "\n";
   if (violation.request == 0) return out.str();
   const std::string id = FormatId(violation.request);
   out << "request " << id << "\n";
@@ -341,18 +346,20 @@
     if (client_try.id != violation.request) continue;
     const ClientRequest& client_request = truth.load.requests[client_try.request_index];
     out << "  client: " << truth.scenario.classes[client_request.request_class].name << ", scheduled for "
-        << at(client_request.at) << ", try " << int{client_try.number} + 1 << ", sent " << at(client_try.sent)
-        << " to router " << client_try.router << " with a deadline of " << FormatMs(client_try.timeout)
-        << (client_try.resent ? " (sent again)" : "") << "; "
-        << kTryOutcomeNames[static_cast<std::size_t>(client_try.outcome)] << " at " << at(client_try.ended) << "\n";
+        << at(client_request.at) << ", try " << int{client_try.number} + 1 << ", sent "
+        << at(client_try.sent) << " to router " << client_try.router << " with a deadline of "
+        << FormatMs(client_try.timeout) << (client_try.resent ? " (sent again)" : "") << "; "
+        << kTryOutcomeNames[static_cast<std::size_t>(client_try.outcome)] << " at " << at(client_try.ended)
+        << "\n";
     from = std::min(from, client_try.sent);
     until = std::max(until, client_try.ended);
   }
   for (const AttemptRecord& attempt : truth.world.attempts) {
     if (attempt.request != violation.request) continue;
     out << "  " << truth.world.servers[static_cast<std::size_t>(attempt.server)].uid << ": from router "
-        << attempt.router << ", first byte " << at(attempt.first_byte_at) << ", complete " << at(attempt.received_at)
-        << "; " << kAttemptOutcomeNames[static_cast<std::size_t>(attempt.outcome)];
+        << attempt.router << ", first byte " << at(attempt.first_byte_at) << ", complete "
+        << at(attempt.received_at) << "; "
+        << kAttemptOutcomeNames[static_cast<std::size_t>(attempt.outcome)];
     if (attempt.ended_at != Time(0)) out << " at " << at(attempt.ended_at);
     out << (attempt.applied ? "; applied" : "") << "\n";
   }
--- a/lab/truth/judge.h
+++ b/lab/truth/judge.h
@@ -22,7 +22,7 @@
 struct Violation {
   Rule rule = Rule::kAnswer;
   RequestId request = 0;  // 0: concerns a server as a whole
-  int server = -1;       // -1: no server in particular
+  int server = -1;        // -1: no server in particular
   Time at{0};
   std::string what;
 };
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -51,8 +51,8 @@
   int hall = 0;
   Capacity capacity;
   std::vector<Time> restarts;  // times of its restarts, in order; capacity.started is the latest
-  Time stopped_at{0};              // when its process ended; 0: it runs at the end
-  bool overloaded = false;   // a cache server (while cold) or the origin stopped serving because of it
+  Time stopped_at{0};          // when its process ended; 0: it runs at the end
+  bool overloaded = false;     // a cache server (while cold) or the origin stopped serving because of it
   // The capacity as it was at that moment. Guards against applying a later restart to work that was
   // received before it.
   Capacity CapacityAt(Time at) const {
@@ -80,8 +80,8 @@
   kReset,           // the server reset the connection
   kMalformed        // answered with garbage or with half of an answer
 };
-inline constexpr std::string_view kAttemptOutcomeNames[] = {"open",   "hit",       "miss", "served", "turned away",
-                                                  "failed", "swallowed", "cut",  "reset",  "spoilt"};
+inline constexpr std::string_view kAttemptOutcomeNames[] = {
+    "open", "hit", "miss", "served", "turned away", "failed", "swallowed", "cut", "reset", "spoilt"};
 
 struct AttemptRecord {
   RequestId request = 0;
@@ -121,15 +121,15 @@
 };
 
 struct WorldRecord {
-  std::vector<ServerRecord> servers;  // the origin first
+  std::vector<ServerRecord> servers;    // the origin first
   std::vector<AttemptRecord> attempts;  // in the order in which they were received completely
   std::vector<RemovalNotice> removal_notices;
-  std::vector<LinkRecord> links;  // connections to cache servers, in order of time
-  std::vector<ListRecord> lists;  // answers of discovery, in order of time
+  std::vector<LinkRecord> links;       // connections to cache servers, in order of time
+  std::vector<ListRecord> lists;       // answers of discovery, in order of time
   std::vector<Time> origin_overloads;  // when the origin stopped because it was overloaded
-  Duration max_lag{0};                // maximum lateness of the world's event loop
-  Duration cpu{0};                // CPU time of the world's thread
-  std::uint64_t late_ticks = 0;         // how often its event loop was late by more than 20 ms
+  Duration max_lag{0};                 // maximum lateness of the world's event loop
+  Duration cpu{0};                     // CPU time of the world's thread
+  std::uint64_t late_ticks = 0;        // how often its event loop was late by more than 20 ms
 };
 
 // How one try of a client ended.
@@ -145,8 +145,8 @@
   kUnreachable,  // no connection was established; nothing was sent
   kLeft,         // its client closed the connection before the answer
 };
-inline constexpr std::string_view kTryOutcomeNames[] = {"open",  "value",      "receipt", "busy",        "failed",
-                                                 "error", "unreadable", "closed",  "unreachable", "left"};
+inline constexpr std::string_view kTryOutcomeNames[] = {
+    "open", "value", "receipt", "busy", "failed", "error", "unreadable", "closed", "unreachable", "left"};
 
 struct TryRecord {
   RequestId id = 0;
@@ -156,7 +156,7 @@
   TryOutcome outcome = TryOutcome::kOpen;
   bool resent = false;  // sent again on a new connection, because the reused one closed before an answer
   bool on_reused_connection = false;  // sent on a connection that had been used before
-  Time sent{0};         // when its last byte was handed to the kernel; 0: never
+  Time sent{0};                       // when its last byte was handed to the kernel; 0: never
   Time ended{0};
   Duration timeout{0};       // the deadline that it states, counted from `sent`
   Duration retry_after{0};   // retry delay that a refusal states; 0: none
@@ -185,8 +185,8 @@
 struct RouterOutage {
   int router = 0;
   Time from{0}, until{0};
-  Time launched{0};  // when it was started again
-  Time term_sent{0};     // when SIGTERM was sent, some time before it was killed; 0: no SIGTERM
+  Time launched{0};   // when it was started again
+  Time term_sent{0};  // when SIGTERM was sent, some time before it was killed; 0: no SIGTERM
 };
 
 // A time in which a router's process was suspended by an injected fault.
--- a/lab/world/machine.cpp
+++ b/lab/world/machine.cpp
@@ -77,7 +77,8 @@
   if (Peer* peer = FindPeer(attempt.peer)) OnWorkDone(*peer, attempt);
 }
 
-void BackendServer::FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome outcome, std::string text) {
+void BackendServer::FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome outcome,
+                                  std::string text) {
   AttemptRecord& attempt_record = world_.record().attempts[record];
   if (attempt_record.outcome == AttemptOutcome::kNeverAnswered) return;
   const double draw = Unit(rng_);
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -123,7 +123,7 @@
     case 20:
       return Result::kError;
     case 30:
-      return Result::kFull;
+      return Result::kRejected;
     case 40:
       return Result::kTimeout;
     case 50:
@@ -133,7 +133,7 @@
     case 70:
       return Result::kCancelled;
     case 80:
-      return Result::kMoot;
+      return Result::kObsolete;
     case 90:
       return Result::kMiss;
     default:
@@ -306,7 +306,7 @@
     else if (how == "all")
       list.kind = ListKind::kAll;
     else if (how == "remembered")
-      list.kind = ListKind::kRemembered;
+      list.kind = ListKind::kPersisted;
     else if (how == "refused")
       list.kind = ListKind::kRefused;
     else
@@ -425,7 +425,7 @@
     AppendField(out, "node", names_.at(a.server));
     out += "}}\n";
   }
-  void Write(std::int64_t who, const Tell& a, std::string& out) {
+  void Write(std::int64_t who, const SendToPeers& a, std::string& out) {
     BeginMessage(out, "BROADCAST_TO", who);
     AppendNumber(out, "to", a.to);
     AppendField(out, "raw", a.bytes);
--- a/src/choice/attempts.cpp
+++ b/src/choice/attempts.cpp
@@ -5,7 +5,8 @@
 
 // Sends the request to the best server, or holds it, or ends it.
 void Balancer::Core::Dispatch(Request& r) {
-  if (settings_.origin == Origin::kAside && (r.write || r.missed || up_servers_.size() == origin_count_)) {
+  if (settings_.origin == Origin::kCacheAside &&
+      (r.write || r.missed || up_servers_.size() == origin_count_)) {
     if (SendToOrigin(r)) return;
   } else {
     int best = Choose(r, false);
@@ -37,7 +38,7 @@
   KeyTable::Entry* entry = r.keyed && !r.write ? &key_table_.Touch(r.key, now_) : nullptr;
   const Holder* holder = FindHolder(entry, id, servers_[id]);
   const bool held = holder != nullptr && holder->confirmed;
-  const bool fetch = settings_.origin == Origin::kThrough && entry != nullptr && !held;
+  const bool fetch = settings_.origin == Origin::kReadThrough && entry != nullptr && !held;
   r.awaits_fetch = fetch && !MayFetch(entry);
   if (r.awaits_fetch) return false;
   if (!TrySend(r, id, fetch)) return false;
@@ -144,8 +145,8 @@
   if (e.result != Result::kTimeout && e.result != Result::kCancelled)
     s.last_activity = s.last_answer = now_;
   a.outstanding = false;
-  a.may_have_run = !NeverRan(e.result);
-  a.lost_in_transit |= e.result == Result::kSpoilt || e.result == Result::kReset;
+  a.may_have_run = !DidNotRun(e.result);
+  a.lost_in_transit |= e.result == Result::kMalformed || e.result == Result::kReset;
   --r.outstanding;
   AdjustInflight(s, -1);
   if (s.trial_attempts > 0) --s.trial_attempts;
@@ -157,7 +158,7 @@
   if (s.inflight == 0 && now_ < s.close_idle_until) out_->push_back(CloseIdle{e.server});
   if (e.complete) MarkEnded(r);
   const bool answered = e.result != Result::kTimeout && e.result != Result::kConnectFailed;
-  if (e.result != Result::kMoot && (e.result != Result::kCancelled || a.overdue)) {
+  if (e.result != Result::kObsolete && (e.result != Result::kCancelled || a.overdue)) {
     RecordZoneResult(s, answered && !a.overdue);
   }
   LearnServerResult(s, r, a, e);
--- a/src/choice/core.h
+++ b/src/choice/core.h
@@ -37,10 +37,10 @@
  public:
   Core(const Settings& settings, std::uint64_t seed);
   void Handle(Time now, const Event& event, Actions& out);
-  Kept Keep(Time now, std::size_t max_keys) const;
-  void Recall(Time now, const Kept& kept, double confidence);
-  bool Avoids(ServerId id) const;
-  std::size_t Avoided() const;
+  LearnedState ExportState(Time now, std::size_t max_keys) const;
+  void RestoreState(Time now, const LearnedState& state, double confidence);
+  bool IsAvoided(ServerId id) const;
+  std::size_t AvoidedCount() const;
 
  private:
   // ---- Load: the smoothed in-flight count, and this instance's share of reported load ----
@@ -62,7 +62,7 @@
   double RampFraction(const Server& s) const;
   // The rate that a cold server may be sent, relative to that of a warm one.
   double ColdBudget(const Server& s) const {
-    return kColdMargin * settings_.rules.fall_multiple * RampFraction(s);
+    return kColdMargin * settings_.rules.overload_multiple * RampFraction(s);
   }
   void RefillColdTokens(Server& s) const;
   bool HasColdToken(Server& s) const;
@@ -88,7 +88,7 @@
 
   // ---- The LARD choice ----
   bool IsOrigin(const Server& s) const {
-    return settings_.origin == Origin::kAside && settings_.origin_kind >= 0 &&
+    return settings_.origin == Origin::kCacheAside && settings_.origin_kind >= 0 &&
            s.kind == settings_.origin_kind;
   }
   static double CostBalancing(double load);
@@ -182,7 +182,7 @@
   Smoothed answers_;            // decaying count of answers; divided by kRateTau it is a rate
   OriginLimiter origin_limiter_;
   Startup startup_;
-  ListCalls list_calls_;
+  ListCallBackoff list_calls_;
   bool list_received_ = false, subscribed_ = false, held_timer_set_ = false, watch_timer_set_ = false;
 };
 
--- a/src/choice/learn.cpp
+++ b/src/choice/learn.cpp
@@ -6,14 +6,14 @@
 // Updates the key's holders, and the origin's limit if the attempt may have reached the origin.
 void Balancer::Core::LearnFetchResult(const Request& r, const Attempt& a, const Outcome& e) {
   KeyTable::Entry* entry = r.keyed ? key_table_.Find(r.key) : nullptr;
-  if (entry != nullptr && !NeverRan(e.result) && e.result != Result::kCancelled) {
+  if (entry != nullptr && !DidNotRun(e.result) && e.result != Result::kCancelled) {
     // A write invalidates all copies; an error means that the copy is gone and could not be fetched again.
-    const bool ok = e.result == Result::kOk, ran = ok || e.result == Result::kSpoilt;
+    const bool ok = e.result == Result::kOk, ran = ok || e.result == Result::kMalformed;
     for (Holder& h : entry->holders) {
       const bool here = h.server == a.server && h.incarnation == a.incarnation;
       if (r.write && ran) {
         h.confirmed = false;
-      } else if (here && !r.write && e.result != Result::kSpoilt) {
+      } else if (here && !r.write && e.result != Result::kMalformed) {
         h.confirmed = ok;
       }
     }
@@ -24,11 +24,11 @@
   const double took = Seconds(now_ - a.sent);
   const bool ok = e.result == Result::kOk;
   if (ok) origin_limiter_.RecordServed(took);
-  if (e.result == Result::kCancelled || NeverRan(e.result)) return;
+  if (e.result == Result::kCancelled || DidNotRun(e.result)) return;
   if (ok && e.note == Note::kHit) return;  // the server held it after all: the origin was not asked
   const Duration aim = ClassOf(r).aim;
   const double max_seconds = aim > Duration(0) ? Seconds(aim) : INFINITY;
-  origin_limiter_.RecordResult(now_, took, ok, ok || e.result == Result::kSpoilt, max_seconds);
+  origin_limiter_.RecordResult(now_, took, ok, ok || e.result == Result::kMalformed, max_seconds);
 }
 
 // Learns whether retries of cancelled overdue attempts succeed. A retry of an attempt lost in transit is
@@ -75,7 +75,7 @@
     case Result::kTimeout:
       RecordHealth(s, true, false);
       break;
-    case Result::kSpoilt:
+    case Result::kMalformed:
     case Result::kReset:
       RecordHealth(s, true, false, true);
       break;
@@ -84,14 +84,14 @@
       break;
     // Overload is not a failure. The rejected request counts as load, or the full server would look idle
     // and attract keys.
-    case Result::kFull:
+    case Result::kRejected:
       s.load.value += typical_seconds_ / Seconds(kLoadTau);
       break;
     case Result::kCancelled:
       if (a.overdue && !a.lost_in_transit)
         RecordHealth(s, true, false);  // the server has answered nothing since
       break;
-    case Result::kMoot:
+    case Result::kObsolete:
       break;
   }
 }
--- a/src/choice/list.cpp
+++ b/src/choice/list.cpp
@@ -6,12 +6,12 @@
 void Balancer::Core::HandleEvent(const ServerList& e) {
   const bool first = !list_received_;
   list_received_ = true;
-  startup_.Listed(e.kind, e.old);
+  startup_.ListReceived(e.kind, e.stale);
   if (e.kind == ListKind::kRefused) {
     subscribed_ = false;
-    ScheduleListCall(list_calls_.Again(now_, Uniform()));
+    ScheduleListCall(list_calls_.RetryDelay(now_, Uniform()));
   } else {
-    if (e.kind == ListKind::kAll || e.kind == ListKind::kRemembered) {
+    if (e.kind == ListKind::kAll || e.kind == ListKind::kPersisted) {
       for (Server& s : servers_) s.listed = false;
     }
     for (const ServerEntry& entry : e.entries) ApplyEntry(entry);
@@ -21,9 +21,9 @@
       latencies_.Remove(id);  // otherwise it would still count in the mean of the sizes
     }
     RebuildUpServers();
-    if (e.kind != ListKind::kRemembered) list_calls_.ListReceived(now_);
+    if (e.kind != ListKind::kPersisted) list_calls_.Confirmed(now_);
   }
-  if (first && settings_.list_must_be_asked) ScheduleListCall(list_calls_.First(Uniform()));
+  if (first && settings_.list_by_request) ScheduleListCall(list_calls_.FirstDelay(Uniform()));
 }
 
 void Balancer::Core::ApplyEntry(const ServerEntry& entry) {
--- a/src/choice/load.cpp
+++ b/src/choice/load.cpp
@@ -33,12 +33,12 @@
   return answers_.Read(now_, kRateTau) / window / std::max(1, warm_servers_);
 }
 
-// The ramp of a cold server, from cold_from to 1. Each instance sends a cold server this share (with a
-// margin) of what it sends a warm one: summed over all instances that is relative to the load that warm
+// The ramp of a cold server, from cold_start_share to 1. Each instance sends a cold server this share (with
+// a margin) of what it sends a warm one: summed over all instances that is relative to the load that warm
 // servers sustain, which is less than their capacity.
 double Balancer::Core::RampFraction(const Server& s) const {
   const double age = std::clamp(Seconds(now_ - s.started) / Seconds(settings_.rules.ramp), 0.0, 1.0);
-  return settings_.rules.cold_from + (1 - settings_.rules.cold_from) * age;
+  return settings_.rules.cold_start_share + (1 - settings_.rules.cold_start_share) * age;
 }
 
 void Balancer::Core::RefillColdTokens(Server& s) const {
@@ -51,8 +51,9 @@
                                           : latencies_.ColdSamples(now_) >= kColdSamples &&
                                                 latencies_.ColdRelativeLatency(now_) < kColdLightLoad;
   const double margin = lightly_loaded ? kColdMarginLightLoad : kColdMargin;
-  const double rate = margin * settings_.rules.fall_multiple * share * SustainedRate();
-  const double capacity = std::max(1.0, rate * Seconds(settings_.rules.fall) / (lightly_loaded ? 4 : 2));
+  const double rate = margin * settings_.rules.overload_multiple * share * SustainedRate();
+  const double capacity =
+      std::max(1.0, rate * Seconds(settings_.rules.overload_window) / (lightly_loaded ? 4 : 2));
   s.cold_tokens = std::min(capacity, s.cold_tokens + rate * Seconds(now_ - s.cold_at));
   s.cold_at = now_;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -160,8 +160,8 @@
   config.settings = ReadSettings(*settings);
   // Even a list that is said to be pushed reaches a real router only in answer to its calls. Guards against
   // a router that never calls discovery at all.
-  config.settings.module.list_agent = !config.settings.module.list_must_be_asked;
-  config.settings.module.list_must_be_asked = true;
+  config.settings.module.local_list_agent = !config.settings.module.list_by_request;
+  config.settings.module.list_by_request = true;
   if (config.settings.names.classes.empty()) throw BadConfig("configuration: the settings name no classes");
   const Value* limits = FindField(document, "limits");
   config.limits = ComputeLimits(config.settings, LimitField(limits, "memory_mb", 192),
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -108,12 +108,12 @@
   }
   settings.over_share_worth = DoubleField(in, "over_share_worth", settings.over_share_worth);
   settings.worth_by_work = StringField(in, "worth_by") == "work";
-  settings.list_must_be_asked = StringField(in, "registry_mode") == "on_request";
+  settings.list_by_request = StringField(in, "registry_mode") == "on_request";
   const Value& info = Field(in, "family_info");
-  settings.origin = StringField(info, "mode") == "aside" ? Origin::kAside : Origin::kThrough;
+  settings.origin = StringField(info, "mode") == "aside" ? Origin::kCacheAside : Origin::kReadThrough;
   settings.origin_kind = Int32Field(info, "origin_kind", -1);
-  settings.origin_fall_multiple = DoubleField(info, "origin_fall_multiple", 0);
-  settings.origin_fall = DurationField(info, "origin_fall", settings.origin_fall);
+  settings.origin_overload_multiple = DoubleField(info, "origin_fall_multiple", 0);
+  settings.origin_overload_window = DurationField(info, "origin_fall", settings.origin_overload_window);
   const std::string_view source = StringField(Field(in, "telemetry"), "source");
   settings.reports = source == "answers" ? ReportSource::kAnswers
                      : source == "probe" ? ReportSource::kProbe
@@ -123,7 +123,7 @@
                      : weights == "rough" ? Weights::kRough
                      : weights == "live"  ? Weights::kLive
                                           : Weights::kNone;
-  settings.retry_marked = BoolField(Field(in, "callers"), "marks_retry", false);
+  settings.mark_retries = BoolField(Field(in, "callers"), "marks_retry", false);
   const Value& allowed = Field(in, "allowed");
   settings.allowed.cancel = BoolField(allowed, "cancel", false);
   settings.allowed.probes = BoolField(allowed, "probes", false);
@@ -139,10 +139,10 @@
   settings.rules.answer_slack = DurationField(safety, "answer_slack", settings.rules.answer_slack);
   settings.rules.ask_within = DurationField(safety, "ask_within", settings.rules.ask_within);
   settings.rules.drain_grace = DurationField(safety, "drain_grace", settings.rules.drain_grace);
-  settings.rules.cold_from = DoubleField(safety, "cold_from", settings.rules.cold_from);
+  settings.rules.cold_start_share = DoubleField(safety, "cold_from", settings.rules.cold_start_share);
   settings.rules.ramp = DurationField(safety, "ramp_time", settings.rules.ramp);
-  settings.rules.fall_multiple = DoubleField(safety, "fall_multiple", settings.rules.fall_multiple);
-  settings.rules.fall = DurationField(safety, "fall", settings.rules.fall);
+  settings.rules.overload_multiple = DoubleField(safety, "fall_multiple", settings.rules.overload_multiple);
+  settings.rules.overload_window = DurationField(safety, "fall", settings.rules.overload_window);
   const Value& fees = Field(in, "fees");
   settings.prices.cross_zone = DoubleField(fees, "cross_zone", 0);
   settings.prices.waste = DoubleField(fees, "waste", 0);
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -29,13 +29,13 @@
 }
 
 // Replaces server ids by those in `to`, and removes servers and holders that are not in it.
-void RemapServers(beechledge::Kept& learnt, const std::unordered_map<ServerId, ServerId>& to) {
-  std::erase_if(learnt.servers, [&](beechledge::Kept::Server& s) {
+void RemapServers(beechledge::LearnedState& learnt, const std::unordered_map<ServerId, ServerId>& to) {
+  std::erase_if(learnt.servers, [&](beechledge::LearnedState::Server& s) {
     const auto it = to.find(s.id);
     if (it != to.end()) s.id = it->second;
     return it == to.end();
   });
-  std::erase_if(learnt.keys, [&](beechledge::Kept::Key& key) {
+  std::erase_if(learnt.keys, [&](beechledge::LearnedState::Key& key) {
     std::vector<ServerId> holders;
     for (const ServerId id : key.holders) {
       if (const auto it = to.find(id); it != to.end()) holders.push_back(it->second);
@@ -270,13 +270,13 @@
 // Records the outcome of an attempt that must not be sent: it never ran.
 void Engine::HoldBack(const beechledge::Send& a, int attempt, bool complete, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
-  ++counters_.attempts_ended[static_cast<std::size_t>(Result::kMoot)];
+  ++counters_.attempts_ended[static_cast<std::size_t>(Result::kObsolete)];
   beechledge::Outcome moot;
   moot.id = a.id;
   moot.server = a.server;
   moot.attempt = attempt;
   moot.complete = complete;
-  moot.result = Result::kMoot;
+  moot.result = Result::kObsolete;
   Queue(moot);
 }
 
@@ -318,8 +318,8 @@
                          << latency.count() / 1000 << " us";
   std::erase(request->in_flight, id);
   const auto of = static_cast<std::size_t>(request->request_class);
-  request->may_have_run = request->may_have_run || !beechledge::NeverRan(end.result);
-  if (!beechledge::NeverRan(end.result) && of < settings_.classes.size() &&
+  request->may_have_run = request->may_have_run || !beechledge::DidNotRun(end.result);
+  if (!beechledge::DidNotRun(end.result) && of < settings_.classes.size() &&
       settings_.classes[of].effect == beechledge::Effect::kKeyed) {
     request->repeat_by = std::min(request->repeat_by,
                                   attempt.sent + settings_.classes[of].window - limits_.transit_allowance);
@@ -454,7 +454,7 @@
     if (why == SendVerdict::kClientGone) ClientGone(attempt->request);
   }
   AttemptResult end;
-  end.result = Result::kMoot;
+  end.result = Result::kObsolete;
   AttemptEnded(id, std::move(end));
 }
 
@@ -481,7 +481,7 @@
 }
 
 void Engine::SetInitialList(const ServerList& known, bool old) {
-  Apply(directory_.SetInitialList(known, now_()), ListKind::kRemembered, old);
+  Apply(directory_.SetInitialList(known, now_()), ListKind::kPersisted, old);
   ready_ = true;
   LogLine(Level::kInfo) << "list of version " << known.version << " loaded at the start, "
                         << known.entries.size() << " servers";
@@ -494,7 +494,7 @@
   LogLine line(Level::kDebug);
   line << "avoids:";
   for (ServerId id = 0; id < directory_.size(); ++id) {
-    if (balancer_.Avoids(id)) line << ' ' << directory_.At(id).uid;
+    if (balancer_.IsAvoided(id)) line << ' ' << directory_.At(id).uid;
   }
   deadlines_.Set(now_() + std::chrono::milliseconds(500), [this] { LogAvoidedServers(); });
 }
@@ -569,7 +569,7 @@
   for (const ServerId id : update.changed) LogChange(id);
   beechledge::ServerList list;
   list.kind = kind;
-  list.old = old;
+  list.stale = old;
   if (kind == ListKind::kChanges) {
     for (const ServerId id : update.named) list.entries.push_back(EntryFor(id));
   }
@@ -595,7 +595,7 @@
     indexes[id] = static_cast<ServerId>(s.list.entries.size());
     s.list.entries.push_back(directory_.Reported(id));
   }
-  s.module_state = balancer_.Keep(now_(), max_keys);
+  s.module_state = balancer_.ExportState(now_(), max_keys);
   RemapServers(s.module_state, indexes);
   return s;
 }
@@ -621,7 +621,7 @@
     ids[index] = *id;
   }
   RemapServers(pending_snapshot_->module_state, ids);
-  balancer_.Recall(now_(), pending_snapshot_->module_state, snapshot_confidence_);
+  balancer_.RestoreState(now_(), pending_snapshot_->module_state, snapshot_confidence_);
   LogLine(Level::kInfo) << "kept state taken up for " << ids.size() << " of " << entries.size()
                         << " servers";
   pending_snapshot_.reset();
@@ -671,7 +671,7 @@
     ++c.known;
     c.skipped += suspended().contains(server.uid);
   }
-  c.skipped += balancer_.Avoided();
+  c.skipped += balancer_.AvoidedCount();
   return c;
 }
 
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -142,7 +142,7 @@
   void Execute(const beechledge::FetchList&);
   void Execute(const beechledge::Probe& a);
   void Execute(const beechledge::CloseIdle& a);
-  void Execute(const beechledge::Tell&) {}  // routers exchange no messages
+  void Execute(const beechledge::SendToPeers&) {}  // routers exchange no messages
   void Execute(const beechledge::Log& a);
 
   SendVerdict EvaluateAttempt(const Request* request, ServerId server, int attempt) const;
--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-ListRefresher::ListRefresher(const RefreshLimits& limits, const beechledge::ListCalls& pacing,
+ListRefresher::ListRefresher(const RefreshLimits& limits, const beechledge::ListCallBackoff& pacing,
                              std::optional<std::int64_t> held, std::uint64_t seed)
     : limits_(limits),
       pacing_(pacing),
@@ -98,7 +98,7 @@
     return Step(now, CallEndReason::kMoved, out);
   }
   LimitIntermediateCalls(out);
-  pacing_.Forget();
+  pacing_.SourceChanged();
   const Duration wait = WaitAfterMove(now);
   refresh_needed_ = false;
   RequireRefresh(now, wait);
@@ -145,7 +145,7 @@
   last_list_ = now;
   version_ = version;
   if (call.source == target_) {
-    pacing_.ListReceived(now);
+    pacing_.Confirmed(now);
     current_ = target_;
     CloseAllButTarget(CallEndReason::kMoved, out);
     CloseIf([](const Call&) { return true; }, CallEndReason::kReplaced, out);
@@ -327,7 +327,7 @@
 
 // Guards against a change that discovery wrote and that was lost in transit, since the router counts as
 // notified of it: after a broken call the next call is opened soon. After a refusal, discovery lacks
-// capacity or is down, and the waits of ListCalls spread the next calls over the fleet.
+// capacity or is down, and the waits of ListCallBackoff spread the next calls over the fleet.
 void ListRefresher::AfterFailure(Time now, CallEndReason why) {
   const bool first = !refresh_needed_;
   const bool unanswered = why == CallEndReason::kConnectTime || why == CallEndReason::kNoAnswer;
@@ -368,7 +368,7 @@
 
 // An open call already has a place in discovery's queue. More calls would take places from other routers.
 void ListRefresher::BackOff(Time now) {
-  const Duration again = pacing_.Again(now, RandomUnit());
+  const Duration again = pacing_.RetryDelay(now, RandomUnit());
   RequireRefresh(now, Duration(0));
   next_open_ = now + (AnyCallToTarget() && !limits_.agent ? std::max(again, NextGap(now)) : again);
 }
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -121,7 +121,7 @@
   static constexpr std::size_t kMaxIntermediateCalls = 3;
 
   // `held`: the version of the list held at the start, if any. `pacing`: computes the waits after refusals.
-  ListRefresher(const RefreshLimits& limits, const beechledge::ListCalls& pacing,
+  ListRefresher(const RefreshLimits& limits, const beechledge::ListCallBackoff& pacing,
                 std::optional<std::int64_t> held, std::uint64_t seed);
 
   // ---- Events ----
@@ -202,7 +202,7 @@
   double RandomUnit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   const RefreshLimits limits_;
-  beechledge::ListCalls pacing_;
+  beechledge::ListCallBackoff pacing_;
   std::mt19937_64 random_;
   std::optional<std::int64_t> version_;  // of the list held, in the current source's numbering
   SourceId current_ = 0, target_ = 0;
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -52,7 +52,7 @@
   if (server == nullptr || !EnsureCapacity()) {
     // No connection may be opened: a shortage of this router, not a fault of the server. Nothing was sent.
     AttemptResult end;
-    end.result = Result::kMoot;
+    end.result = Result::kObsolete;
     return engine_.AttemptEnded(attempt, std::move(end));
   }
   connections_.emplace_back();
@@ -217,7 +217,7 @@
       return;
     case Parsed::kBad:
       LogLine(Level::kDebug) << "bad answer from " << engine_.FindServer(connection.server)->uid;
-      return CloseWithResult(connection, Result::kSpoilt);
+      return CloseWithResult(connection, Result::kMalformed);
     case Parsed::kDone:
       return;
   }
@@ -299,7 +299,7 @@
         reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(connection.trailer))),
         connection.trailer);
     if (end != std::string_view("\r\n").substr(0, connection.trailer))
-      return CloseWithResult(connection, Result::kSpoilt);
+      return CloseWithResult(connection, Result::kMalformed);
     evbuffer_drain(in, connection.trailer);
   }
   FinishStreaming(connection);
@@ -346,7 +346,7 @@
     it->deadline = {};
     if (HasUnreadInput(bufferevent_getfd(it->buffer.get())))
       return SetAnswerDeadline(*it, limits_.answer_stall_timeout / 4);
-    CloseWithResult(*it, Result::kSpoilt);
+    CloseWithResult(*it, Result::kMalformed);
   });
 }
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -24,8 +24,8 @@
   refresh.connect = limits.discovery_connect_timeout;
   refresh.answer = limits.discovery_answer_timeout;
   refresh.drain_grace = settings.rules.drain_grace;
-  refresh.reopen_offset = settings.list_agent ? Duration(0) : part(limits.watch_spread / 2);
-  refresh.agent = settings.list_agent;
+  refresh.reopen_offset = settings.local_list_agent ? Duration(0) : part(limits.watch_spread / 2);
+  refresh.agent = settings.local_list_agent;
   return refresh;
 }
 
@@ -63,7 +63,7 @@
       started_(loop.Now()),
       drain_grace_(settings.module.rules.drain_grace),
       addresses_{{0, std::move(address)}},
-      refresher_(LimitsFor(limits, settings.module, phase), beechledge::ListCalls(settings.module),
+      refresher_(LimitsFor(limits, settings.module, phase), beechledge::ListCallBackoff(settings.module),
                  VersionHeld(known), static_cast<std::uint64_t>(phase * 1e9)) {}
 
 // Like all calls of the engine to its back ends, these must not call the engine back before they return.
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -309,7 +309,7 @@
   if (end.result != Result::kOk) return end;
   // A receipt is sent to the client as one word of a line: anything else would break that line.
   if (request.write && (!IsWord(answer.body) || answer.body.size() > 1024)) {
-    end.result = Result::kSpoilt;
+    end.result = Result::kMalformed;
   } else {
     end.body = std::move(answer.body);
   }
@@ -319,7 +319,7 @@
 AttemptResult ReadOriginProbe(const HttpAnswer& answer) {
   AttemptResult end;
   const bool not_run = (answer.status == 503 || answer.status == 504) && answer.turned_away;
-  end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kFull : Result::kError;
+  end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kRejected : Result::kError;
   std::string_view rest = answer.pressure;
   while (!rest.empty()) {
     const std::size_t cut = rest.find(',');
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -185,7 +185,7 @@
   const std::string_view head = NextWord(rest);
   if (head == "SERVER_ERROR") {
     if (rest == "busy" || rest.starts_with("busy ")) {
-      end.result = Result::kFull;
+      end.result = Result::kRejected;
     } else {
       end.result = Result::kError;
     }
@@ -256,7 +256,7 @@
   used = at;
   if (got != Parsed::kDone) return got;
   if (line.starts_with("SERVER_ERROR")) {
-    end.result = line.find("busy") == line.npos ? Result::kError : Result::kFull;
+    end.result = line.find("busy") == line.npos ? Result::kError : Result::kRejected;
     return Parsed::kDone;
   }
   end.result = Result::kOk;
--- a/src/sight/origin_pace.h
+++ b/src/sight/origin_pace.h
@@ -62,16 +62,16 @@
   }
 
   // What was learned, to be persisted over a restart.
-  Kept::Origin Export() const { return {limit_, base_seconds_, usual_seconds_}; }
+  LearnedState::Origin Export() const { return {limit_, base_seconds_, usual_seconds_}; }
   // Restores exported values; the lower the confidence, the less they replace the initial ones. Values that
   // cannot have been exported here are ignored.
-  void Restore(const Kept::Origin& kept, double confidence) {
-    if (!(kept.limit >= kMinLimit && kept.limit < 1e6 && kept.base > 0 && kept.base < 60 &&
-          kept.usual > 0 && kept.usual < 60))
+  void Restore(const LearnedState::Origin& kept, double confidence) {
+    if (!(kept.max_fetches >= kMinLimit && kept.max_fetches < 1e6 && kept.base_seconds > 0 &&
+          kept.base_seconds < 60 && kept.usual_seconds > 0 && kept.usual_seconds < 60))
       return;
-    limit_ += confidence * (kept.limit - limit_);
-    base_seconds_ += confidence * (kept.base - base_seconds_);
-    usual_seconds_ += confidence * (kept.usual - usual_seconds_);
+    limit_ += confidence * (kept.max_fetches - limit_);
+    base_seconds_ += confidence * (kept.base_seconds - base_seconds_);
+    usual_seconds_ += confidence * (kept.usual_seconds - usual_seconds_);
   }
 
  private:
--- a/src/sight/paces.cpp
+++ b/src/sight/paces.cpp
@@ -132,24 +132,24 @@
   return servers_[id].latency.Mean(now, group, kGroupPriorSamples) - fleet;
 }
 
-Kept::Server ServerLatencies::Export(ServerId id, Time now) const {
-  Kept::Server kept;
+LearnedState::Server ServerLatencies::Export(ServerId id, Time now) const {
+  LearnedState::Server kept;
   kept.id = id;
   if (id >= servers_.size() || !servers_[id].active) return kept;
   const Server& s = servers_[id];
-  kept.looks = s.latency.samples.Read(now, kTau);
-  kept.log_time = kept.looks > 0 ? s.latency.sum.Read(now, kTau) / kept.looks : 0;
+  kept.samples = s.latency.samples.Read(now, kTau);
+  kept.log_latency = kept.samples > 0 ? s.latency.sum.Read(now, kTau) / kept.samples : 0;
   kept.log_weight = s.log_weight;
   return kept;
 }
 
-void ServerLatencies::Restore(const Kept::Server& kept, Time now, double confidence) {
+void ServerLatencies::Restore(const LearnedState::Server& kept, Time now, double confidence) {
   const bool finite =
-      std::isfinite(kept.looks) && std::isfinite(kept.log_time) && std::isfinite(kept.log_weight);
+      std::isfinite(kept.samples) && std::isfinite(kept.log_latency) && std::isfinite(kept.log_weight);
   if (kept.id >= servers_.size() || !servers_[kept.id].active || !finite) return;
   Server& s = servers_[kept.id];
-  const double samples = confidence * std::clamp(kept.looks, 0.0, kMaxRestoredSamples);
-  const double log_time = std::clamp(kept.log_time, std::log(1e-4), std::log(60.0));
+  const double samples = confidence * std::clamp(kept.samples, 0.0, kMaxRestoredSamples);
+  const double log_time = std::clamp(kept.log_latency, std::log(1e-4), std::log(60.0));
   for (MeanLatency* latency : {&s.latency, &groups_[s.group].latency, &fleet_latency_}) {
     latency->samples.Add(now, kTau, samples);
     latency->sum.Add(now, kTau, samples * log_time);
--- a/src/sight/paces.h
+++ b/src/sight/paces.h
@@ -56,8 +56,8 @@
 
   // Exports what was learned about one server, and restores it in addition to what is known: its samples
   // are scaled by `confidence`.
-  Kept::Server Export(ServerId id, Time now) const;
-  void Restore(const Kept::Server& kept, Time now, double confidence);
+  LearnedState::Server Export(ServerId id, Time now) const;
+  void Restore(const LearnedState::Server& kept, Time now, double confidence);
 
   // The server's weight, about 1 on average, between kMinWeight and kMaxWeight. It changes in small steps,
   // one per kStepInterval, and only for a difference that is worth moving keys for.
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using beechledge::Availability;
-using beechledge::Kept;
+using beechledge::LearnedState;
 using Value = rapidjson::Value;
 
 unsigned long Checksum(std::string_view text) {
@@ -77,18 +77,19 @@
   for (const std::string& uid : s.suspended) str(uid);
   w.EndArray();
   w.Key("servers"), w.StartArray();
-  for (const Kept::Server& k : s.module_state.servers) {
+  for (const LearnedState::Server& k : s.module_state.servers) {
     w.StartArray();
-    w.Uint(k.id), w.Double(k.looks), w.Double(k.log_time), w.Double(k.log_weight), w.Int64(k.avoid.count());
+    w.Uint(k.id), w.Double(k.samples), w.Double(k.log_latency), w.Double(k.log_weight),
+        w.Int64(k.ejection_left.count());
     w.EndArray();
   }
   w.EndArray();
   w.Key("origin"), w.StartArray();
-  w.Double(s.module_state.origin.limit), w.Double(s.module_state.origin.base),
-      w.Double(s.module_state.origin.usual);
+  w.Double(s.module_state.origin.max_fetches), w.Double(s.module_state.origin.base_seconds),
+      w.Double(s.module_state.origin.usual_seconds);
   w.EndArray();
   w.Key("keys"), w.StartArray();
-  for (const Kept::Key& k : s.module_state.keys) {
+  for (const LearnedState::Key& k : s.module_state.keys) {
     w.StartArray();
     w.Uint64(k.key);
     for (const beechledge::ServerId id : k.holders) w.Uint(id);
@@ -151,12 +152,12 @@
   }
   for (const Value& v : d["servers"].GetArray()) {
     Row r{v, ok};
-    Kept::Server k;
+    LearnedState::Server k;
     k.id = static_cast<beechledge::ServerId>(r.Integer(0));
-    k.looks = r.Number(1);
-    k.log_time = r.Number(2);
+    k.samples = r.Number(1);
+    k.log_latency = r.Number(2);
     k.log_weight = r.Number(3);
-    k.avoid = Duration(r.Integer(4));
+    k.ejection_left = Duration(r.Integer(4));
     ok = ok && k.id < servers;
     s.module_state.servers.push_back(k);
   }
@@ -165,7 +166,7 @@
   for (const Value& v : d["keys"].GetArray()) {
     if (!v.IsArray() || v.Empty() || !v[0].IsUint64()) ok = false;
     if (!ok) break;
-    Kept::Key k{v[0].GetUint64(), {}};
+    LearnedState::Key k{v[0].GetUint64(), {}};
     for (rapidjson::SizeType i = 1; i < v.Size(); ++i) {
       ok = ok && v[i].IsUint() && v[i].GetUint() < servers;
       if (ok) k.holders.push_back(v[i].GetUint());
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -25,7 +25,7 @@
   ServerList list;     // the whole list as last received from discovery
   std::set<std::string> suspended;
   // Server ids in it are indexes into list.entries.
-  beechledge::Kept module_state;
+  beechledge::LearnedState module_state;
 };
 
 constexpr int kSnapshotLayout = 1;
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -209,7 +209,7 @@
     const int at = d.Submit("hot");
     elsewhere += at != holder;
     d.Advance(milliseconds(1));
-    d.EndAttempt(d.last_id, 0, at == holder ? Result::kFull : Result::kOk);
+    d.EndAttempt(d.last_id, 0, at == holder ? Result::kRejected : Result::kOk);
     d.Advance(milliseconds(10));
     d.AnswerAll();
   }
@@ -283,7 +283,7 @@
   s.allowed.max_retry_after = seconds(2);
   s.classes[0].aim = seconds(1);
   Driver d(s);
-  d.List(ListKind::kRemembered, {});
+  d.List(ListKind::kPersisted, {});
   const Time start = d.now;
   d.Submit("a", 0, milliseconds(800));
   d.Advance(seconds(1));
@@ -300,19 +300,19 @@
   const int holder = d.Serve("a");
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(d.Submit("a"), holder);
-    d.EndAttempt(d.last_id, 0, Result::kSpoilt);
+    d.EndAttempt(d.last_id, 0, Result::kMalformed);
     EXPECT_EQ(static_cast<int>(d.sends.back().send.server), holder);  // a read may run again
     EXPECT_EQ(d.sends.back().attempt, 1);
     d.EndAttempt(d.last_id, 1, Result::kOk);
     for (int n = 0; n < 3; ++n) EXPECT_EQ(d.Serve("a"), holder);
   }
   d.Submit("a");
-  d.EndAttempt(d.last_id, 0, Result::kSpoilt);
-  d.EndAttempt(d.last_id, 1, Result::kSpoilt);
+  d.EndAttempt(d.last_id, 0, Result::kMalformed);
+  d.EndAttempt(d.last_id, 1, Result::kMalformed);
   EXPECT_NE(static_cast<int>(d.sends.back().send.server),
             holder);  // after two malformed answers another server is tried
   EXPECT_NE(d.Submit("p", 1), -1);
-  d.EndAttempt(d.last_id, 0, Result::kSpoilt);
+  d.EndAttempt(d.last_id, 0, Result::kMalformed);
   EXPECT_EQ(d.failed.back(), d.last_id);  // unsafe, and has run
 }
 
@@ -364,7 +364,7 @@
       d.List(ListKind::kChanges, {anew});
     }
     for (const RequestId id : open) d.EndAttempt(id, 0, Result::kError);
-    EXPECT_EQ(d.Avoids(static_cast<ServerId>(holder)), !restarts);
+    EXPECT_EQ(d.IsAvoided(static_cast<ServerId>(holder)), !restarts);
   }
 }
 
@@ -449,7 +449,7 @@
   explicit LargeFleet(double cross_zone = 0, std::uint64_t seed = 1) : d(Priced(cross_zone), seed) {
     std::vector<ServerEntry> entries;
     for (ServerId id = 0; id < 60; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
-    d.List(ListKind::kRemembered, entries);
+    d.List(ListKind::kPersisted, entries);
     for (int i = 0; i < 300; ++i) Next("warm" + std::to_string(i));
   }
   static Settings Priced(double cross_zone) {
@@ -559,7 +559,7 @@
   Driver d(s);
   std::vector<ServerEntry> entries;
   for (ServerId id = 0; id < 8; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
-  d.List(ListKind::kRemembered, entries);
+  d.List(ListKind::kPersisted, entries);
   for (int i = 0; i < 400; ++i) d.Serve("warm" + std::to_string(i), milliseconds(10));
   int other_zone = 0;
   for (int i = 0; i < 200; ++i) other_zone += d.Serve("new" + std::to_string(i), milliseconds(10)) % 2;
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -34,10 +34,10 @@
   s.allowed.max_attempts = 4;
   s.allowed.cancel = true;
   s.rules.drain_grace = milliseconds(500);
-  s.rules.cold_from = 0.2;
+  s.rules.cold_start_share = 0.2;
   s.rules.ramp = seconds(20);
-  s.rules.fall_multiple = 3;
-  s.rules.fall = milliseconds(1500);
+  s.rules.overload_multiple = 3;
+  s.rules.overload_window = milliseconds(1500);
   s.rules.answer_slack = milliseconds(20);
   return s;
 }
@@ -93,15 +93,19 @@
     }
   }
 
-  Kept Keep(std::size_t max_keys = 1000) const { return balancer_.Keep(now, max_keys); }
-  bool Avoids(ServerId server) const { return balancer_.Avoids(server); }
-  void Recall(const Kept& kept, double confidence = 1) { balancer_.Recall(now, kept, confidence); }
+  LearnedState ExportState(std::size_t max_keys = 1000) const {
+    return balancer_.ExportState(now, max_keys);
+  }
+  bool IsAvoided(ServerId server) const { return balancer_.IsAvoided(server); }
+  void RestoreState(const LearnedState& kept, double confidence = 1) {
+    balancer_.RestoreState(now, kept, confidence);
+  }
 
   void List(ListKind kind, std::vector<ServerEntry> entries) { Feed(ServerList{kind, std::move(entries)}); }
   void SetServers(ServerId n) {
     std::vector<ServerEntry> entries;
     for (ServerId id = 0; id < n; ++id) entries.push_back(Up(id));
-    List(ListKind::kRemembered, entries);
+    List(ListKind::kPersisted, entries);
   }
 
   // Submits a request and returns the server that it was sent to at once; -1: none.
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -26,18 +26,18 @@
   Settings s = PlainSettings();
   s.balancers = balancers;
   s.zones = 2;
-  s.origin = Origin::kAside;
+  s.origin = Origin::kCacheAside;
   s.origin_kind = 1;
-  s.list_must_be_asked = true;
+  s.list_by_request = true;
   s.classes[0].aim = milliseconds(850);
   s.classes[0].deadline = milliseconds(1400);
   s.prices.cross_zone = 0.13;
   s.allowed.max_attempts = 5;
   s.rules.drain_grace = seconds(1);
-  s.rules.fall_multiple = 4;
-  s.rules.fall = seconds(2);
+  s.rules.overload_multiple = 4;
+  s.rules.overload_window = seconds(2);
   s.rules.ramp = seconds(24);
-  s.rules.cold_from = 0.12;
+  s.rules.cold_start_share = 0.12;
   return s;
 }
 
@@ -80,7 +80,7 @@
     n.open.clear();
     n.notified = false;
     n.balancer = std::make_unique<Balancer>(s, random_());
-    Feed(i, ServerList{ListKind::kRemembered, known.empty() ? All() : known});
+    Feed(i, ServerList{ListKind::kPersisted, known.empty() ? All() : known});
   }
   std::vector<ServerEntry> All() const {
     std::vector<ServerEntry> all;
@@ -262,15 +262,16 @@
   RequestId last_id_ = 0;
 };
 
-// What a cold server may be sent in any window of `fall`: the stated multiple of its present capacity.
-// Servers are taken to be at half of their capacity.
+// What a cold server may be sent in any window of `overload_window`: the stated multiple of its present
+// capacity. Servers are taken to be at half of their capacity.
 double Budget(Duration age) {
   const Settings s = FleetSettings();
   const double capacity = 2 * kBalancers * kRate / kServers;
   const double ramp =
       std::min(1.0, std::chrono::duration<double>(age) / std::chrono::duration<double>(s.rules.ramp));
-  return s.rules.fall_multiple * capacity * (s.rules.cold_from + (1 - s.rules.cold_from) * ramp) *
-         std::chrono::duration<double>(s.rules.fall).count();
+  return s.rules.overload_multiple * capacity *
+         (s.rules.cold_start_share + (1 - s.rules.cold_start_share) * ramp) *
+         std::chrono::duration<double>(s.rules.overload_window).count();
 }
 
 TEST(Fleet, ColdServersGetRequestsAndNoneExceedsItsBudgetOverAllBalancers) {
@@ -302,9 +303,9 @@
   }
 }
 
-// The most that all balancers together send to one cold server in any window of `fall`, as a share of what
-// is allowed: the budget of N calls and 2 * sqrt(N) + 2 for chance. Half of the servers restart cold at
-// once.
+// The most that all balancers together send to one cold server in any window of `overload_window`, as a
+// share of what is allowed: the budget of N calls and 2 * sqrt(N) + 2 for chance. Half of the servers
+// restart cold at once.
 double WorstColdLoad(std::uint64_t seed, int balancers, double uneven, double all, double hot,
                      bool restarted) {
   const double each = all / balancers;
@@ -333,7 +334,7 @@
     const std::vector<Time>& at = f.servers[id].sends;
     to_cold += at.size();
     for (std::size_t i = 0, from = 0; i < at.size(); ++i) {
-      while (at[i] - at[from] >= FleetSettings().rules.fall) ++from;
+      while (at[i] - at[from] >= FleetSettings().rules.overload_window) ++from;
       const double n = scale * Budget(at[from] - start);
       worst = std::max(worst, static_cast<double>(i - from + 1) / (n + 2 * std::sqrt(n) + 2));
     }
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -86,7 +86,8 @@
          c.Attempt(1, 1, 10, 90, AttemptOutcome::kHit);
        },
        0, Rule::kAnswer},
-      {"answered within the slack", [](Case& c) { c.Try(1, 0, 0, 565, TryOutcome::kBusy); }, 0, Rule::kAnswer},
+      {"answered within the slack", [](Case& c) { c.Try(1, 0, 0, 565, TryOutcome::kBusy); }, 0,
+       Rule::kAnswer},
       {"answered late", [](Case& c) { c.Try(1, 0, 0, 575, TryOutcome::kBusy); }, 1, Rule::kAnswer},
       {"answered late by less than the laboratory's own lag",
        [](Case& c) {
@@ -162,7 +163,8 @@
       {"never sent", [](Case& c) { c.Try(1, 0, 0, 900, TryOutcome::kUnreachable).sent = Time(0); }, 0,
        Rule::kAnswer},
       {"an idle connection closed, nothing sent on",
-       [](Case& c) { c.Try(1, 0, 0, 5, TryOutcome::kClosed).on_reused_connection = true; }, 0, Rule::kAnswer},
+       [](Case& c) { c.Try(1, 0, 0, 5, TryOutcome::kClosed).on_reused_connection = true; }, 0,
+       Rule::kAnswer},
       {"connection closed while an attempt was open",
        [](Case& c) {
          c.Try(1, 0, 0, 5, TryOutcome::kClosed).on_reused_connection = true;
@@ -285,8 +287,8 @@
          for (int i = 0; i < 4; ++i) c.Attempt(1, 1, 55 + 10 * i, 60 + 10 * i, AttemptOutcome::kTurnedAway);
        },
        1, Rule::kOnce},
-      {"an attempt without a client's request", [](Case& c) { c.Attempt(7, 1, 10, 20, AttemptOutcome::kHit); }, 1,
-       Rule::kOnce},
+      {"an attempt without a client's request",
+       [](Case& c) { c.Attempt(7, 1, 10, 20, AttemptOutcome::kHit); }, 1, Rule::kOnce},
 
       {"sent within the grace period after the notice",
        [](Case& c) {
@@ -373,7 +375,8 @@
     // Capacity 0.15 to 0.2, four times that over 2 s: 1.2 to 1.6 s of work, and 0.04 s of slack.
     for (int i = 0; i < 200; ++i) {
       c.Try(static_cast<RequestId>(i + 1), 0, i * 10, i * 10 + 5, TryOutcome::kBusy);
-      c.Attempt(static_cast<RequestId>(i + 1), 1, i * 10, i * 10 + 5, AttemptOutcome::kTurnedAway).work_s = 0.01f;
+      c.Attempt(static_cast<RequestId>(i + 1), 1, i * 10, i * 10 + 5, AttemptOutcome::kTurnedAway).work_s =
+          0.01f;
     }
     const auto found = CheckRules(c.truth);
     CHECK(found.size() == (cold ? 1 : 0));
--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -149,12 +149,12 @@
       {"SERVER_ERROR busy 250\r\n", Parsed::kDone, TryOutcome::kBusy},
       {"SERVER_ERROR failed\r\n", Parsed::kDone, TryOutcome::kFailed},
       {"CLIENT_ERROR no id\r\n", Parsed::kDone, TryOutcome::kError},
-      {"HD" + o + "\r\n", Parsed::kBad, TryOutcome::kBad},
-      {"HD O0000000000000abd cr7\r\n", Parsed::kBad, TryOutcome::kBad},
-      {"VA 3" + o + "\r\nabc\r\n", Parsed::kBad, TryOutcome::kBad},
-      {"VA 70000" + o + "\r\n", Parsed::kBad, TryOutcome::kBad},
-      {"EN\r\n", Parsed::kBad, TryOutcome::kBad},
-      {std::string(5000, 'x'), Parsed::kBad, TryOutcome::kBad},
+      {"HD" + o + "\r\n", Parsed::kBad, TryOutcome::kMalformed},
+      {"HD O0000000000000abd cr7\r\n", Parsed::kBad, TryOutcome::kMalformed},
+      {"VA 3" + o + "\r\nabc\r\n", Parsed::kBad, TryOutcome::kMalformed},
+      {"VA 70000" + o + "\r\n", Parsed::kBad, TryOutcome::kMalformed},
+      {"EN\r\n", Parsed::kBad, TryOutcome::kMalformed},
+      {std::string(5000, 'x'), Parsed::kBad, TryOutcome::kMalformed},
   };
   for (const Case& c : cases) {
     INFO(c.text);
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -249,7 +249,7 @@
   w.AdvanceTo(102s);
   CHECK(w.ends.answers[7].size() == 1);
   CHECK(w.ends.attempts.size() == 1);
-  CHECK(w.counters.attempts_ended[static_cast<std::size_t>(Result::kMoot)] == 0);
+  CHECK(w.counters.attempts_ended[static_cast<std::size_t>(Result::kObsolete)] == 0);
 }
 
 TEST_CASE("requests over the limit are not accepted") {
@@ -394,7 +394,7 @@
 // Guards against checking the window before a connection is made: it may end while the connection is being
 // established.
 TEST_CASE("no first byte of a keyed repeat is sent once its window is over") {
-  for (const Result first : {Result::kReset, Result::kFull}) {
+  for (const Result first : {Result::kReset, Result::kRejected}) {
     Fixture w(200ms);
     w.Take(7, 2);
     REQUIRE(w.ends.attempts.size() == 1);
@@ -408,7 +408,7 @@
     CHECK(w.MaySendFirstByte(again, "127.0.0.1:1"));
     w.now += 2ms;  // the last byte needs time to arrive
     CHECK(w.MaySendFirstByte(again, "127.0.0.1:1") ==
-          (first == Result::kFull));  // the first attempt never ran
+          (first == Result::kRejected));  // the first attempt never ran
   }
 }
 
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -178,7 +178,7 @@
       {kRead, "VA 0 Oid7 h1\r\n\r\n", Parsed::kDone, Result::kOk, "", Note::kHit},
       {kRead, "EN Oid7\r\n", Parsed::kDone, Result::kMiss},
       {kRead, "EN Oid7 h0 Z\r\n", Parsed::kDone, Result::kMiss, "", Note::kMissFetching},
-      {kRead, "SERVER_ERROR busy\r\n", Parsed::kDone, Result::kFull},
+      {kRead, "SERVER_ERROR busy\r\n", Parsed::kDone, Result::kRejected},
       {kRead, "SERVER_ERROR failed\r\n", Parsed::kDone, Result::kError},
       {kWrite, "HD Oid7 cr1\r\n", Parsed::kDone, Result::kOk, "r1"},
       {kRead, "VA 3 Oother\r\nabc\r\n", Parsed::kBad},  // the answer to another request
@@ -293,10 +293,10 @@
   };
   CHECK(read(200, false, kRead).result == Result::kOk);
   CHECK(read(200, false, kWrite, "receipt").body == "receipt");
-  CHECK(read(200, false, kWrite, "two words").result == Result::kSpoilt);
+  CHECK(read(200, false, kWrite, "two words").result == Result::kMalformed);
   CHECK(read(500, false, kRead).result == Result::kError);
-  CHECK(read(503, true, kRead).result == Result::kFull);
-  CHECK(read(504, true, kRead).result == Result::kFull);
+  CHECK(read(503, true, kRead).result == Result::kRejected);
+  CHECK(read(504, true, kRead).result == Result::kRejected);
   CHECK(read(503, false, kRead).result == Result::kError);  // it may have run
   CHECK(read(500, true, kRead).result == Result::kError);
   CHECK(read(200, false, kRead).report->queue == 2);
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -67,7 +67,7 @@
   REQUIRE(back);
   CHECK(EncodeSnapshot(*back) == EncodeSnapshot(s));
   CHECK(back->list.entries[1].availability == Availability::kDraining);
-  CHECK(back->module_state.servers[0].avoid == 700ms);
+  CHECK(back->module_state.servers[0].ejection_left == 700ms);
   CHECK(back->module_state.keys[3].holders == s.module_state.keys[3].holders);
 }
 
@@ -114,20 +114,20 @@
 
 TEST_CASE("servers of an old list get one attempt at a time until discovery or an answer confirms them") {
   Startup s;
-  CHECK(s.phase() == Startup::Phase::kListening);
-  s.Listed(ListKind::kRemembered, true);
-  CHECK(s.phase() == Startup::Phase::kRemembered);
+  CHECK(s.phase() == Startup::Phase::kNoList);
+  s.ListReceived(ListKind::kPersisted, true);
+  CHECK(s.phase() == Startup::Phase::kPersisted);
   CHECK(s.MayTry(0, false));
   CHECK_FALSE(s.MayTry(1, false));
   CHECK(s.MayTry(5, true));
-  s.Listed(ListKind::kRefused, false);
+  s.ListReceived(ListKind::kRefused, false);
   CHECK_FALSE(s.MayTry(1, false));
-  s.Listed(ListKind::kAll, false);
+  s.ListReceived(ListKind::kAll, false);
   CHECK(s.MayTry(1, false));
-  s.Listed(ListKind::kRemembered, true);  // a confirmation is not taken back
+  s.ListReceived(ListKind::kPersisted, true);  // a confirmation is not taken back
   CHECK(s.MayTry(1, false));
   Startup fresh;
-  fresh.Listed(ListKind::kRemembered, false);
+  fresh.ListReceived(ListKind::kPersisted, false);
   CHECK(fresh.MayTry(1, false));
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(Answers, WithoutServersARequestIsHeldUntilItEnds) {
   Driver d;
-  d.List(ListKind::kRemembered, {});
+  d.List(ListKind::kPersisted, {});
   EXPECT_EQ(d.Submit("a"), -1);
   d.Advance(milliseconds(200));
   d.List(ListKind::kChanges, {Up(0)});
@@ -69,7 +69,7 @@
   Driver d(s);
   std::vector<ServerEntry> entries;
   for (ServerId id = 0; id < 8; ++id) entries.push_back(Up(id, Time(0), static_cast<int>(id % 2)));
-  d.List(ListKind::kRemembered, entries);
+  d.List(ListKind::kPersisted, entries);
   for (int i = 0; i < 20; ++i) {
     const int first = d.Submit("k" + std::to_string(i), 2);
     d.EndAttempt(d.last_id, 0, Result::kReset);
@@ -138,7 +138,7 @@
 
 TEST(Cold, AnInstanceWithoutSamplesSendsAlmostNothing) {
   Driver d;
-  d.List(ListKind::kRemembered, {Up(0), Up(1), Up(2, d.now - seconds(1))});
+  d.List(ListKind::kPersisted, {Up(0), Up(1), Up(2, d.now - seconds(1))});
   int cold = 0;
   for (int i = 0; i < 20; ++i) cold += d.Submit("k" + std::to_string(i)) == 2;
   EXPECT_LE(cold, 1);
@@ -168,7 +168,7 @@
   for (const int balancers : {-1, 0, 1, 100, INT32_MAX}) {
     Settings s = PlainSettings();
     s.balancers = balancers;
-    s.list_must_be_asked = true;
+    s.list_by_request = true;
     Driver d(s);
     d.SetServers(4);
     std::mt19937_64 random(7);
@@ -219,7 +219,7 @@
     s.balancers = seed % 3 == 0 ? 0 : 20;  // 0 is invalid, and must do no harm
     s.classes[2].group = seed % 3 == 1 ? Group::kAll : Group::kZone;
     if (seed % 5 == 0) {
-      s.origin = Origin::kAside;
+      s.origin = Origin::kCacheAside;
       s.origin_kind = 1;
     }
     Driver d(s, seed);
@@ -257,7 +257,7 @@
             EXPECT_FALSE(out);
           }
           const bool never_ran =
-              !out && (outcome->second == Result::kFull || outcome->second == Result::kMiss ||
+              !out && (outcome->second == Result::kRejected || outcome->second == Result::kMiss ||
                        outcome->second == Result::kConnectFailed);
           if (h.request_class == 1) {
             EXPECT_TRUE(never_ran);
@@ -274,7 +274,7 @@
         }
       }
     };
-    d.List(ListKind::kRemembered, {});
+    d.List(ListKind::kPersisted, {});
     for (int step = 0; step < 600; ++step) {
       d.Advance(milliseconds(pick(40)));
       check();
@@ -309,7 +309,7 @@
         const std::pair<RequestId, int> which{sent.send.id, sent.attempt};
         if (!outcomes.contains(which)) {
           static constexpr Result kResults[] = {
-              Result::kOk,    Result::kOk,   Result::kError,  Result::kFull, Result::kConnectFailed,
+              Result::kOk,    Result::kOk,   Result::kError,  Result::kRejected, Result::kConnectFailed,
               Result::kReset, Result::kMiss, Result::kTimeout};
           const Result result = kResults[pick(8)];
           outcomes[which] = result;
@@ -335,7 +335,7 @@
       for (int i = 0; i < d.attempts[id]; ++i) {
         const auto outcome = outcomes.find({id, i});
         const bool never_ran = outcome != outcomes.end() &&
-                               (outcome->second == Result::kFull || outcome->second == Result::kMiss ||
+                               (outcome->second == Result::kRejected || outcome->second == Result::kMiss ||
                                 outcome->second == Result::kConnectFailed);
         const int c = held.at(id).request_class;
         EXPECT_TRUE(c == 0 || never_ran || (c == 2 && s.classes[2].group == Group::kAll));
--- a/tests/sight/paces_test.cpp
+++ b/tests/sight/paces_test.cpp
@@ -109,11 +109,11 @@
 }
 
 // Four warm servers answer in 200 ms and a cold one in `cold_takes`. Returns what the cold one was sent
-// between 3 s and 8 s of its ramp, as a share of what it may be sent (fall_multiple times its present
+// between 3 s and 8 s of its ramp, as a share of what it may be sent (overload_multiple times its present
 // capacity).
 double ColdShare(Duration cold_takes) {
   Settings settings = PlainSettings();
-  settings.origin = Origin::kAside;
+  settings.origin = Origin::kCacheAside;
   settings.origin_kind = 7;
   Driver d(settings);
   d.SetServers(4);
@@ -175,7 +175,7 @@
 }
 Settings AsideSettings(int balancers) {
   Settings s = PlainSettings();
-  s.origin = Origin::kAside;
+  s.origin = Origin::kCacheAside;
   s.origin_kind = 7;
   s.balancers = balancers;
   return s;
@@ -211,7 +211,7 @@
   for (const bool unlike : {false, true}) {
     Driver d(AsideSettings(300));
     const auto [list, takes] = TwoKinds(unlike);
-    d.List(ListKind::kRemembered, list);
+    d.List(ListKind::kPersisted, list);
     const double before = FirstKind(Sent(d, 400, seconds(2), takes));
     double last = before;
     for (int i = 0; i < 12; ++i) {
@@ -268,26 +268,26 @@
 TEST(Restore, WeightsAndHoldersAreRestored) {
   const auto [list, takes] = TwoKinds(true);
   Driver first(AsideSettings(300));
-  first.List(ListKind::kRemembered, list);
+  first.List(ListKind::kPersisted, list);
   Sent(first, 400, seconds(24), takes);
   const double learned = FirstKind(Sent(first, 400, seconds(2), takes));
-  const Kept kept = first.Keep();
+  const LearnedState kept = first.ExportState();
   EXPECT_EQ(kept.servers.size(), 8u);
   EXPECT_EQ(kept.keys.size(), 400u);
-  EXPECT_EQ(first.Keep(10).keys.size(), 10u);
+  EXPECT_EQ(first.ExportState(10).keys.size(), 10u);
   Driver blank(AsideSettings(300)), again(AsideSettings(300)), wild(AsideSettings(300));
-  for (Driver* d : {&blank, &again, &wild}) d->List(ListKind::kRemembered, list);
-  again.Recall(kept);
-  Kept nonsense = kept;
-  for (Kept::Server& s : nonsense.servers) {
-    s.looks = -1e300;
-    s.log_time = 1e300;
+  for (Driver* d : {&blank, &again, &wild}) d->List(ListKind::kPersisted, list);
+  again.RestoreState(kept);
+  LearnedState nonsense = kept;
+  for (LearnedState::Server& s : nonsense.servers) {
+    s.samples = -1e300;
+    s.log_latency = 1e300;
     s.log_weight = NAN;
   }
   nonsense.servers.push_back({4000000, 1, 1, 1, seconds(1)});
   nonsense.keys = {{7, {4000000}}};
   nonsense.origin = {NAN, -1, 1e300};
-  wild.Recall(nonsense);
+  wild.RestoreState(nonsense);
   const double without = FirstKind(Sent(blank, 400, seconds(1), takes));
   EXPECT_NEAR(FirstKind(Sent(again, 400, seconds(1), takes)), learned, 0.05);
   EXPECT_GT(without, learned + 0.1);
@@ -304,12 +304,13 @@
     first.Advance(milliseconds(5));
     if (to >= 0) first.EndAttempt(id, 0, to == 2 ? Result::kConnectFailed : Result::kOk);
   }
-  const Kept kept = first.Keep();
-  const auto avoided = std::count_if(kept.servers.begin(), kept.servers.end(),
-                                     [](const Kept::Server& s) { return s.avoid > Duration(0); });
+  const LearnedState kept = first.ExportState();
+  const auto avoided =
+      std::count_if(kept.servers.begin(), kept.servers.end(),
+                    [](const LearnedState::Server& s) { return s.ejection_left > Duration(0); });
   ASSERT_EQ(avoided, 1);
   again.now = first.now;
-  again.Recall(kept);
+  again.RestoreState(kept);
   int there = 0;
   for (int i = 0; i < 40; ++i) there += again.Submit("n" + std::to_string(i)) == 2;
   EXPECT_EQ(there, 0);
--- a/tests/sight/parts_test.cpp
+++ b/tests/sight/parts_test.cpp
@@ -159,8 +159,8 @@
 }
 
 // Whatever the results of earlier calls, and with one more failure after discovery is reachable again, the
-// list is received within kTold.
-TEST(ListCalls, TheListIsReceivedInTimeHoweverManyCallsFail) {
+// list is received within kMaxNotifyDelay.
+TEST(ListCallBackoff, TheListIsReceivedInTimeHoweverManyCallsFail) {
   const brasswood::Limits limits;
   const Duration failures[] = {Duration(0), limits.discovery_connect_timeout,
                                limits.discovery_answer_timeout};
@@ -169,28 +169,28 @@
     const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
     Settings s;
     s.balancers = seed % 3 == 0 ? 300 : 3;
-    s.list_agent = seed % 5 == 0;
-    ListCalls calls(s);
+    s.local_list_agent = seed % 5 == 0;
+    ListCallBackoff calls(s);
     Time now = seconds(100), back;
     const bool swallowed = seed % 2 == 0;
     if (swallowed) {  // it stops answering a watch that has just begun, but answers others
-      calls.ListReceived(now);
+      calls.Confirmed(now);
       back = now;
       now += limits.watch_time + limits.watch_grace;
     } else {  // it is down for a while; the call in progress when it returns still fails
       back = now + FromSeconds(20 * random_share());
-      now += calls.First(random_share());
+      now += calls.FirstDelay(random_share());
       while (now < back) {
         now += failures[random() % 3];
-        now += calls.Again(now, random_share());
+        now += calls.RetryDelay(now, random_share());
       }
     }
-    now += calls.Again(now += failures[0], random_share());  // one more that is refused
-    EXPECT_LE(now - back, ListCalls::kTold) << seed;
+    now += calls.RetryDelay(now += failures[0], random_share());  // one more that is refused
+    EXPECT_LE(now - back, ListCallBackoff::kMaxNotifyDelay) << seed;
   }
 }
 
-TEST(ListCalls, AFleetThatIsRefusedTogetherSpreadsItsCalls) {
+TEST(ListCallBackoff, AFleetThatIsRefusedTogetherSpreadsItsCalls) {
   constexpr int kRouters = 300;
   Settings s;
   s.balancers = kRouters;
@@ -198,12 +198,12 @@
   const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
   std::vector<int> calls(100);  // in each tenth of a second
   for (int router = 0; router < kRouters; ++router) {
-    ListCalls own(s);
+    ListCallBackoff own(s);
     Time now = seconds(0);
-    now += own.First(random_share());
+    now += own.FirstDelay(random_share());
     while (now < seconds(10)) {
       ++calls[static_cast<std::size_t>(now / milliseconds(100))];
-      now += own.Again(now, random_share());
+      now += own.RetryDelay(now, random_share());
     }
   }
   EXPECT_LT(*std::max_element(calls.begin(), calls.end()), kRouters / 4);
@@ -211,8 +211,8 @@
 }
 
 // Discovery has capacity for only a part of the calls of a fleet that starts together, including the
-// watches that follow. Every router receives its first list within kTold.
-TEST(ListCalls, AllRoutersReceiveTheListFromADiscoveryWithLittleCapacity) {
+// watches that follow. Every router receives its first list within kMaxNotifyDelay.
+TEST(ListCallBackoff, AllRoutersReceiveTheListFromADiscoveryWithLittleCapacity) {
   struct Case {
     int routers;
     double capacity;  // calls per second
@@ -224,28 +224,28 @@
       const auto random_share = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
       Settings s;
       s.balancers = routers;
-      std::vector<ListCalls> own(static_cast<std::size_t>(routers), ListCalls(s));
+      std::vector<ListCallBackoff> own(static_cast<std::size_t>(routers), ListCallBackoff(s));
       std::vector<bool> notified(own.size()), watching(own.size());
       std::multimap<Time, std::size_t> next;  // the router that calls, or whose watch is answered
-      for (std::size_t r = 0; r < own.size(); ++r) next.emplace(own[r].First(random_share()), r);
+      for (std::size_t r = 0; r < own.size(); ++r) next.emplace(own[r].FirstDelay(random_share()), r);
       double left = 2;
       Time filled(0);
       std::size_t remaining = own.size();
       while (remaining > 0) {
         const auto [now, r] = *next.begin();
         next.erase(next.begin());
-        if (watching[r]) own[r].ListReceived(now);  // and calls again at once, for the next watch
+        if (watching[r]) own[r].Confirmed(now);  // and calls again at once, for the next watch
         watching[r] = false;
         left = std::min(std::max(1.0, capacity / 10), left + capacity * Seconds(now - filled));
         filled = now;
         if (left < 1) {
-          next.emplace(now + own[r].Again(now, random_share()), r);
+          next.emplace(now + own[r].RetryDelay(now, random_share()), r);
           continue;
         }
         left -= 1;
         remaining -= !notified[r];
         if (!notified[r]) {
-          own[r].ListReceived(now);
+          own[r].Confirmed(now);
           next.emplace(now, r);
         } else {
           watching[r] = true;
@@ -253,20 +253,20 @@
                        r);
         }
         notified[r] = true;
-        ASSERT_LE(now, ListCalls::kTold) << routers << " routers, seed " << seed;
+        ASSERT_LE(now, ListCallBackoff::kMaxNotifyDelay) << routers << " routers, seed " << seed;
       }
     }
   }
 }
 
-TEST(ListCalls, ALocalAgentIsCalledAtOnceAndAgainWithinTheDrainGrace) {
+TEST(ListCallBackoff, ALocalAgentIsCalledAtOnceAndAgainWithinTheDrainGrace) {
   Settings s;
   s.balancers = 300;
-  s.list_agent = true;
+  s.local_list_agent = true;
   s.rules.drain_grace = milliseconds(300);
-  ListCalls calls(s);
-  EXPECT_EQ(calls.First(1), Duration(0));
-  for (int i = 0; i < 20; ++i) EXPECT_LE(calls.Again(seconds(1 + i), 1), s.rules.drain_grace / 4);
+  ListCallBackoff calls(s);
+  EXPECT_EQ(calls.FirstDelay(1), Duration(0));
+  for (int i = 0; i < 20; ++i) EXPECT_LE(calls.RetryDelay(seconds(1 + i), 1), s.rules.drain_grace / 4);
 }
 
 }  // namespace
