--- a/include/beechledge/kept.h
+++ b/include/beechledge/learned_state.h
@@ -1,7 +1,7 @@
 // What a balancer has learned and may restore after a restart: plain numbers for the host to store. These
 // are hints only: a server named here is not thereby up, and no correctness rule depends on them.
-#ifndef BEECHLEDGE_KEPT_H_
-#define BEECHLEDGE_KEPT_H_
+#ifndef BEECHLEDGE_LEARNED_STATE_H_
+#define BEECHLEDGE_LEARNED_STATE_H_
 
 #include <cstdint>
 #include <vector>
@@ -19,7 +19,7 @@
     ServerId id = 0;
     double samples = 0,
            log_latency = 0;     // number of recent answers; mean logarithm of their latency in seconds
-    double log_weight = 0;      // logarithm of its weight, see sight/paces.h
+    double log_weight = 0;      // logarithm of its weight, see estimates/server_latencies.h
     Duration ejection_left{0};  // remaining ejection time; 0: not ejected
   };
   struct Origin {
@@ -33,4 +33,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_KEPT_H_
+#endif  // BEECHLEDGE_LEARNED_STATE_H_
--- a/lab/explore/list_press.cpp
+++ b/lab/explore/discovery_load.cpp
@@ -1,4 +1,4 @@
-#include "lab/explore/list_press.h"
+#include "lab/explore/discovery_load.h"
 
 #include <algorithm>
 #include <deque>
--- a/lab/explore/list_press.h
+++ b/lab/explore/discovery_load.h
@@ -1,7 +1,7 @@
 // Measures, in virtual time, the load that a fleet puts on a discovery that serves calls one after the
 // other, including calls that their routers have closed meanwhile.
-#ifndef BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
-#define BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
+#ifndef BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
+#define BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
 
 #include "lab/explore/list_exploration.h"
 
@@ -41,4 +41,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
+#endif  // BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 
 #include "lab/explore/directory_exploration.h"
+#include "lab/explore/discovery_load.h"
 #include "lab/explore/list_exploration.h"
-#include "lab/explore/list_press.h"
 #include "lab/run/soak.h"
 #include "lab/run/studies.h"
 
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "lab/run/router_process.h"
-#include "lab/truth/judge.h"
+#include "lab/truth/rule_checker.h"
 
 namespace brasswood::lab {
 
--- a/lab/run/router_process.cpp
+++ b/lab/run/router_process.cpp
@@ -29,8 +29,8 @@
 
 #include "lab/base/rng.h"
 #include "protocol/address.h"
+#include "state/atomic_file.h"
 #include "state/snapshot.h"
-#include "state/whole_file.h"
 
 namespace brasswood::lab {
 namespace {
--- a/lab/truth/push_meter.h
+++ b/lab/truth/overload_meter.h
@@ -1,8 +1,8 @@
 // Compares the work that a server is sent with its capacity at that moment. The emulated servers use it to
 // decide when they are overloaded and stop serving, the rule checker to decide whether a router overloaded
 // a cold server: both count in the same way.
-#ifndef BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
-#define BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
+#ifndef BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
+#define BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
 
 #include <algorithm>
 #include <deque>
@@ -57,4 +57,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
+#endif  // BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
--- a/lab/truth/judge.cpp
+++ b/lab/truth/rule_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/truth/judge.h"
+#include "lab/truth/rule_checker.h"
 
 #include <algorithm>
 #include <fstream>
--- a/lab/truth/judge.h
+++ b/lab/truth/rule_checker.h
@@ -1,7 +1,7 @@
 // The rule checker: finds in the record of a run which rules were violated. It is a pure function of the
 // record, so that it can be tested on constructed records as well as on routers that break each rule.
-#ifndef BRASSWOOD_LAB_TRUTH_JUDGE_H_
-#define BRASSWOOD_LAB_TRUTH_JUDGE_H_
+#ifndef BRASSWOOD_LAB_TRUTH_RULE_CHECKER_H_
+#define BRASSWOOD_LAB_TRUTH_RULE_CHECKER_H_
 
 #include <string>
 #include <string_view>
@@ -37,4 +37,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_TRUTH_JUDGE_H_
+#endif  // BRASSWOOD_LAB_TRUTH_RULE_CHECKER_H_
--- a/lab/truth/truth.h
+++ b/lab/truth/truth.h
@@ -15,7 +15,7 @@
 
 #include "base/clock.h"
 #include "lab/base/scenario.h"
-#include "lab/truth/push_meter.h"
+#include "lab/truth/overload_meter.h"
 
 namespace brasswood::lab {
 
--- a/lab/world/machine.cpp
+++ b/lab/world/backend_server.cpp
@@ -1,4 +1,4 @@
-#include "lab/world/machine.h"
+#include "lab/world/backend_server.h"
 
 #include "lab/world/world.h"
 
--- a/lab/world/machine.h
+++ b/lab/world/backend_server.h
@@ -1,16 +1,16 @@
 // What cache servers and the origin have in common: they receive attempts, process them on a limited number
 // of cores, answer in order, cancel an attempt when its connection closes, and record each attempt.
-#ifndef BRASSWOOD_LAB_WORLD_MACHINE_H_
-#define BRASSWOOD_LAB_WORLD_MACHINE_H_
+#ifndef BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
+#define BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
 
 #include <string>
 #include <unordered_map>
 
 #include "lab/base/plan.h"
-#include "lab/truth/push_meter.h"
+#include "lab/truth/overload_meter.h"
 #include "lab/truth/truth.h"
 #include "lab/world/server.h"
-#include "lab/world/station.h"
+#include "lab/world/work_queue.h"
 
 namespace brasswood::lab {
 
@@ -75,4 +75,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_WORLD_MACHINE_H_
+#endif  // BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
--- a/lab/world/cache_server.h
+++ b/lab/world/cache_server.h
@@ -3,9 +3,9 @@
 #ifndef BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 #define BRASSWOOD_LAB_WORLD_CACHE_SERVER_H_
 
-#include "core/ends.h"
+#include "core/interfaces.h"
+#include "lab/world/backend_server.h"
 #include "lab/world/key_store.h"
-#include "lab/world/machine.h"
 
 namespace brasswood::lab {
 
--- a/lab/world/origin.h
+++ b/lab/world/origin.h
@@ -4,7 +4,7 @@
 #ifndef BRASSWOOD_LAB_WORLD_ORIGIN_H_
 #define BRASSWOOD_LAB_WORLD_ORIGIN_H_
 
-#include "lab/world/machine.h"
+#include "lab/world/backend_server.h"
 
 namespace brasswood::lab {
 
--- a/lab/world/station.h
+++ b/lab/world/work_queue.h
@@ -1,7 +1,7 @@
 // The cores of a server and the bounded first-in-first-out queue of requests that wait for one. It has no
 // notion of time and does no I/O: its owner says when a request begins and ends.
-#ifndef BRASSWOOD_LAB_WORLD_STATION_H_
-#define BRASSWOOD_LAB_WORLD_STATION_H_
+#ifndef BRASSWOOD_LAB_WORLD_WORK_QUEUE_H_
+#define BRASSWOOD_LAB_WORLD_WORK_QUEUE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -58,4 +58,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_WORLD_STATION_H_
+#endif  // BRASSWOOD_LAB_WORLD_WORK_QUEUE_H_
--- a/src/admin/calls.h
+++ b/src/admin/calls.h
@@ -1,5 +1,5 @@
 // The calls of the admin interface: their paths and their answers. Independent of sockets and of HTTP
-// framing (protocol/door parses and writes that); the router is called through Operations.
+// framing (protocol/admin_http parses and writes that); the router is called through Operations.
 #ifndef BRASSWOOD_ADMIN_CALLS_H_
 #define BRASSWOOD_ADMIN_CALLS_H_
 
--- a/src/admin/live_marks.cpp
+++ b/src/admin/heartbeat_files.cpp
@@ -1,4 +1,4 @@
-#include "admin/live_marks.h"
+#include "admin/heartbeat_files.h"
 
 #include <unistd.h>
 
--- a/src/admin/live_marks.h
+++ b/src/admin/heartbeat_files.h
@@ -4,8 +4,8 @@
 // modification time itself is not compared with the current time for that, as the wall clock may have
 // stepped since. Used during a replacement, when the old and the new process of one router run side by side
 // and share its limits. Other routers are not counted, as they have other names.
-#ifndef BRASSWOOD_ADMIN_LIVE_MARKS_H_
-#define BRASSWOOD_ADMIN_LIVE_MARKS_H_
+#ifndef BRASSWOOD_ADMIN_HEARTBEAT_FILES_H_
+#define BRASSWOOD_ADMIN_HEARTBEAT_FILES_H_
 
 #include <chrono>
 #include <cstddef>
@@ -39,4 +39,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_LIVE_MARKS_H_
+#endif  // BRASSWOOD_ADMIN_HEARTBEAT_FILES_H_
--- a/src/admin/figures.cpp
+++ b/src/admin/metrics.cpp
@@ -1,4 +1,4 @@
-#include "admin/figures.h"
+#include "admin/metrics.h"
 
 namespace brasswood {
 namespace {
--- a/src/admin/figures.h
+++ b/src/admin/metrics.h
@@ -1,8 +1,8 @@
 // The metrics of GET /v1/metrics as text, one `name:value|type` line each. The type is `c` for a counter
 // since the process started, `g` for a gauge. Formatting only: the values come from the engine and the
 // counters.
-#ifndef BRASSWOOD_ADMIN_FIGURES_H_
-#define BRASSWOOD_ADMIN_FIGURES_H_
+#ifndef BRASSWOOD_ADMIN_METRICS_H_
+#define BRASSWOOD_ADMIN_METRICS_H_
 
 #include <cstdint>
 #include <string>
@@ -31,4 +31,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_FIGURES_H_
+#endif  // BRASSWOOD_ADMIN_METRICS_H_
--- a/src/admin/operator_state.h
+++ b/src/admin/operator_state.h
@@ -1,7 +1,7 @@
 // The operator state, which must survive a replacement of the process: the cache servers that operators
 // have suspended. It is written to a small file in $TMPDIR, which the old and the new process of one router
 // share, and read at the start and regularly after that. This file has the text format only;
-// admin/state_file reads and writes the file.
+// admin/operator_state_file reads and writes the file.
 #ifndef BRASSWOOD_ADMIN_OPERATOR_STATE_H_
 #define BRASSWOOD_ADMIN_OPERATOR_STATE_H_
 
--- a/src/admin/state_file.cpp
+++ b/src/admin/operator_state_file.cpp
@@ -1,8 +1,8 @@
-#include "admin/state_file.h"
+#include "admin/operator_state_file.h"
 
 #include <cstdlib>
 
-#include "state/whole_file.h"
+#include "state/atomic_file.h"
 
 namespace brasswood {
 
--- a/src/admin/state_file.h
+++ b/src/admin/operator_state_file.h
@@ -1,8 +1,8 @@
 // The operator state on disk: one small file in $TMPDIR. It is written to a temporary file that is then
 // renamed over the old one, so that any reader, such as the other process of a replacement, sees the
 // complete old or the complete new state.
-#ifndef BRASSWOOD_ADMIN_STATE_FILE_H_
-#define BRASSWOOD_ADMIN_STATE_FILE_H_
+#ifndef BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
+#define BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
 
 #include <optional>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_STATE_FILE_H_
+#endif  // BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
--- a/src/admin/operator.cpp
+++ b/src/admin/router_operations.cpp
@@ -1,9 +1,9 @@
-#include "admin/operator.h"
+#include "admin/router_operations.h"
 
 #include <chrono>
 #include <utility>
 
-#include "admin/figures.h"
+#include "admin/metrics.h"
 #include "base/log.h"
 
 namespace brasswood {
--- a/src/admin/operator.h
+++ b/src/admin/router_operations.h
@@ -4,8 +4,8 @@
 // processes of a replacement agree: each writes the file at every change and reads it every
 // `Limits::state_poll_interval`. All disk access runs on a thread of its own, so that a disk that is full,
 // broken or stalled delays nothing else.
-#ifndef BRASSWOOD_ADMIN_OPERATOR_H_
-#define BRASSWOOD_ADMIN_OPERATOR_H_
+#ifndef BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
+#define BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "admin/calls.h"
-#include "admin/live_marks.h"
-#include "admin/state_file.h"
+#include "admin/heartbeat_files.h"
+#include "admin/operator_state_file.h"
 #include "base/counters.h"
 #include "config/limits.h"
 #include "config/settings.h"
@@ -100,4 +100,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_OPERATOR_H_
+#endif  // BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
--- a/src/core/ends.h
+++ b/src/core/interfaces.h
@@ -1,8 +1,8 @@
 // The interfaces between the engine, its front ends (which receive requests) and its back ends (which send
 // attempts to servers). They are independent of the protocols: another front end only has to fill in
 // RequestContent and to encode an Answer.
-#ifndef BRASSWOOD_CORE_ENDS_H_
-#define BRASSWOOD_CORE_ENDS_H_
+#ifndef BRASSWOOD_CORE_INTERFACES_H_
+#define BRASSWOOD_CORE_INTERFACES_H_
 
 #include <cstdint>
 #include <memory>
@@ -105,4 +105,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_CORE_ENDS_H_
+#endif  // BRASSWOOD_CORE_INTERFACES_H_
--- a/src/discovery/news_ledger.h
+++ b/src/discovery/availability_record.h
@@ -1,8 +1,8 @@
 // Records the drains, removals and returns that discovery's answers contained, for the run-time checks. It
 // is independent of the server directory, which it checks, and is fed with the answers as received. Does no
 // I/O.
-#ifndef BRASSWOOD_DISCOVERY_NEWS_LEDGER_H_
-#define BRASSWOOD_DISCOVERY_NEWS_LEDGER_H_
+#ifndef BRASSWOOD_DISCOVERY_AVAILABILITY_RECORD_H_
+#define BRASSWOOD_DISCOVERY_AVAILABILITY_RECORD_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -73,4 +73,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_DISCOVERY_NEWS_LEDGER_H_
+#endif  // BRASSWOOD_DISCOVERY_AVAILABILITY_RECORD_H_
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -38,7 +38,7 @@
 
 #include "base/clock.h"
 #include "discovery/server_list.h"
-#include "recovery/list_calls.h"
+#include "recovery/list_call_backoff.h"
 
 namespace brasswood {
 
--- a/src/sight/admission.h
+++ b/src/estimates/admission.h
@@ -11,13 +11,13 @@
 // Once fewer than half of the ended requests were answered at all, only twice as many are admitted as were
 // answered (adaptive throttling, Site Reliability Engineering, chapter 21), because too few answers are
 // left to show a queue.
-#ifndef BEECHLEDGE_SIGHT_ADMISSION_H_
-#define BEECHLEDGE_SIGHT_ADMISSION_H_
+#ifndef BEECHLEDGE_ESTIMATES_ADMISSION_H_
+#define BEECHLEDGE_ESTIMATES_ADMISSION_H_
 
 #include <algorithm>
 #include <cmath>
 
-#include "sight/smoothed.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -81,4 +81,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_ADMISSION_H_
+#endif  // BEECHLEDGE_ESTIMATES_ADMISSION_H_
--- a/src/sight/times.h
+++ b/src/estimates/answer_times.h
@@ -1,14 +1,14 @@
 // The distribution of answer times as one balancer sees it: a decaying histogram that accounts for
 // abandoned attempts. Performs no I/O; fixed size.
-#ifndef BEECHLEDGE_SIGHT_TIMES_H_
-#define BEECHLEDGE_SIGHT_TIMES_H_
+#ifndef BEECHLEDGE_ESTIMATES_ANSWER_TIMES_H_
+#define BEECHLEDGE_ESTIMATES_ANSWER_TIMES_H_
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
 #include "beechledge/balancer.h"
-#include "sight/smoothed.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -74,4 +74,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_TIMES_H_
+#endif  // BEECHLEDGE_ESTIMATES_ANSWER_TIMES_H_
--- a/src/sight/key_table.h
+++ b/src/estimates/key_table.h
@@ -1,6 +1,6 @@
 // Which servers are believed to hold a key, from the answers this balancer has seen. Performs no I/O.
-#ifndef BEECHLEDGE_SIGHT_KEY_TABLE_H_
-#define BEECHLEDGE_SIGHT_KEY_TABLE_H_
+#ifndef BEECHLEDGE_ESTIMATES_KEY_TABLE_H_
+#define BEECHLEDGE_ESTIMATES_KEY_TABLE_H_
 
 #include <list>
 #include <unordered_map>
@@ -61,4 +61,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_KEY_TABLE_H_
+#endif  // BEECHLEDGE_ESTIMATES_KEY_TABLE_H_
--- a/src/sight/origin_pace.h
+++ b/src/estimates/origin_limiter.h
@@ -2,13 +2,13 @@
 // how long they take. A fetch that fails or takes far longer than an unqueued one indicates overload; the
 // limit adapts by additive increase and multiplicative decrease (as in Jacobson and Karels). Performs no
 // I/O.
-#ifndef BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
-#define BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
+#ifndef BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
+#define BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
 
 #include <algorithm>
 
-#include "beechledge/kept.h"
-#include "sight/smoothed.h"
+#include "beechledge/learned_state.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -93,4 +93,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
+#endif  // BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
--- a/src/sight/home_share.h
+++ b/src/estimates/own_zone_share.h
@@ -1,13 +1,13 @@
 // The share of new keys that is placed in the own zone: all of them, unless its answers are slower than
 // those of the other zones. Then whole keys are placed in other zones, a few more at each step, until the
 // latencies are alike. Performs no I/O.
-#ifndef BEECHLEDGE_SIGHT_HOME_SHARE_H_
-#define BEECHLEDGE_SIGHT_HOME_SHARE_H_
+#ifndef BEECHLEDGE_ESTIMATES_OWN_ZONE_SHARE_H_
+#define BEECHLEDGE_ESTIMATES_OWN_ZONE_SHARE_H_
 
 #include <algorithm>
 #include <cmath>
 
-#include "sight/smoothed.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -39,4 +39,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_HOME_SHARE_H_
+#endif  // BEECHLEDGE_ESTIMATES_OWN_ZONE_SHARE_H_
--- a/src/sight/paces.cpp
+++ b/src/estimates/server_latencies.cpp
@@ -1,4 +1,4 @@
-#include "sight/paces.h"
+#include "estimates/server_latencies.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/sight/paces.h
+++ b/src/estimates/server_latencies.h
@@ -11,8 +11,8 @@
 //
 // Performs no I/O; the caller passes the time. Bounded: one record for each server and at most kMaxGroups
 // groups; further kinds and zones share the last group.
-#ifndef BEECHLEDGE_SIGHT_PACES_H_
-#define BEECHLEDGE_SIGHT_PACES_H_
+#ifndef BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
+#define BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
 
 #include <cstdint>
 #include <map>
@@ -20,8 +20,8 @@
 #include <vector>
 
 #include "beechledge/balancer.h"
-#include "beechledge/kept.h"
-#include "sight/smoothed.h"
+#include "beechledge/learned_state.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -105,4 +105,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_PACES_H_
+#endif  // BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
--- a/src/sight/smoothed.h
+++ b/src/estimates/smoothed.h
@@ -1,6 +1,6 @@
 // An exponentially smoothed value that decays with time. Performs no I/O; the caller passes the time.
-#ifndef BEECHLEDGE_SIGHT_SMOOTHED_H_
-#define BEECHLEDGE_SIGHT_SMOOTHED_H_
+#ifndef BEECHLEDGE_ESTIMATES_SMOOTHED_H_
+#define BEECHLEDGE_ESTIMATES_SMOOTHED_H_
 
 #include <algorithm>
 #include <cmath>
@@ -35,4 +35,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_SMOOTHED_H_
+#endif  // BEECHLEDGE_ESTIMATES_SMOOTHED_H_
--- a/src/sight/halls.h
+++ b/src/estimates/zone_health.h
@@ -1,8 +1,8 @@
 // Detects the outage of a whole zone: several of its servers fail in a row with no answer in between.
 // Without this, each balancer would have to find out server by server that the zone is gone. Performs no
 // I/O.
-#ifndef BEECHLEDGE_SIGHT_HALLS_H_
-#define BEECHLEDGE_SIGHT_HALLS_H_
+#ifndef BEECHLEDGE_ESTIMATES_ZONE_HEALTH_H_
+#define BEECHLEDGE_ESTIMATES_ZONE_HEALTH_H_
 
 #include <algorithm>
 #include <array>
@@ -53,4 +53,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_HALLS_H_
+#endif  // BEECHLEDGE_ESTIMATES_ZONE_HEALTH_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,20 +10,20 @@
 #include <optional>
 #include <thread>
 
-#include "admin/operator.h"
-#include "admin/state_file.h"
+#include "admin/operator_state_file.h"
+#include "admin/router_operations.h"
 #include "base/counters.h"
 #include "base/log.h"
 #include "base/stable_hash.h"
 #include "config/config.h"
 #include "core/engine.h"
+#include "net/admin_server.h"
 #include "net/attempt_pool.h"
-#include "net/client_front.h"
-#include "net/discovery_watch.h"
-#include "net/door.h"
+#include "net/client_front_end.h"
+#include "net/discovery_client.h"
 #include "net/loop.h"
 #include "net/startup.h"
-#include "state/keeper.h"
+#include "state/snapshot_keeper.h"
 
 namespace {
 
--- a/src/net/door.cpp
+++ b/src/net/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "net/door.h"
+#include "net/admin_server.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
--- a/src/net/door.h
+++ b/src/net/admin_server.h
@@ -3,8 +3,8 @@
 // connection has one deadline, counted from its accept, after which it is answered 400 and closed, and the
 // number of connections is bounded, with the oldest closed for a new one. Nothing here waits for a server
 // or a client's request, so an answer is sent within the deadline whatever the data path does.
-#ifndef BRASSWOOD_NET_DOOR_H_
-#define BRASSWOOD_NET_DOOR_H_
+#ifndef BRASSWOOD_NET_ADMIN_SERVER_H_
+#define BRASSWOOD_NET_ADMIN_SERVER_H_
 
 #include <event2/listener.h>
 
@@ -17,7 +17,7 @@
 #include "config/limits.h"
 #include "core/slots.h"
 #include "net/loop.h"
-#include "protocol/door.h"
+#include "protocol/admin_http.h"
 
 namespace brasswood {
 
@@ -58,4 +58,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_DOOR_H_
+#endif  // BRASSWOOD_NET_ADMIN_SERVER_H_
--- a/src/net/client_front.cpp
+++ b/src/net/client_front_end.cpp
@@ -1,4 +1,4 @@
-#include "net/client_front.h"
+#include "net/client_front_end.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
--- a/src/net/client_front.h
+++ b/src/net/client_front_end.h
@@ -1,7 +1,7 @@
 // The front end for clients: memcache meta commands on persistent connections. Commands may be pipelined:
 // each request starts at once, and the answers are sent in the order of the commands.
-#ifndef BRASSWOOD_NET_CLIENT_FRONT_H_
-#define BRASSWOOD_NET_CLIENT_FRONT_H_
+#ifndef BRASSWOOD_NET_CLIENT_FRONT_END_H_
+#define BRASSWOOD_NET_CLIENT_FRONT_END_H_
 
 #include <event2/listener.h>
 
@@ -159,4 +159,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_CLIENT_FRONT_H_
+#endif  // BRASSWOOD_NET_CLIENT_FRONT_END_H_
--- a/src/net/client_shutdown.cpp
+++ b/src/net/client_shutdown.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/log.h"
-#include "net/client_front.h"
+#include "net/client_front_end.h"
 
 namespace brasswood {
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery_watch.h"
+#include "net/discovery_client.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_client.h
@@ -1,8 +1,8 @@
 // Calls to discovery over TCP: executes the actions that ListRefresher decides on and reports their outcome
 // to it. Server lists are passed to the engine. When a call is made and how long it may take is decided by
 // ListRefresher, not here.
-#ifndef BRASSWOOD_NET_DISCOVERY_WATCH_H_
-#define BRASSWOOD_NET_DISCOVERY_WATCH_H_
+#ifndef BRASSWOOD_NET_DISCOVERY_CLIENT_H_
+#define BRASSWOOD_NET_DISCOVERY_CLIENT_H_
 
 #include <array>
 #include <map>
@@ -111,4 +111,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_DISCOVERY_WATCH_H_
+#endif  // BRASSWOOD_NET_DISCOVERY_CLIENT_H_
--- a/src/choice/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -1,5 +1,5 @@
 // The life of a request from its arrival to its end: sends, holds, outcomes, timers.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,5 +1,5 @@
 // The module's entry points: validates settings and dispatches events.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/choose.cpp
+++ b/src/policy/choose.cpp
@@ -1,5 +1,5 @@
 // Server choice by LARD: the sum of three costs for each eligible server, and the sets of holders of keys.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/core.h
+++ b/src/policy/core.h
@@ -1,14 +1,14 @@
 // The implementation of Balancer: one class, implemented by concern in the files of this folder.
-//   load.cpp      load estimates and the budgets of cold servers
-//   health.cpp    outlier detection, ejection and zone outages
-//   silence.cpp   unresponsive servers and overdue attempts
-//   choose.cpp    server choice (LARD)
-//   gate.cpp      the rules that every send passes, admission, and the end of requests
-//   attempts.cpp  the life of a request: sends, holds, outcomes, timers
-//   learn.cpp     what outcomes teach about servers, keys, the origin and retries
-//   list.cpp      the server list
-#ifndef BEECHLEDGE_CHOICE_CORE_H_
-#define BEECHLEDGE_CHOICE_CORE_H_
+//   load.cpp              load estimates and the budgets of cold servers
+//   health.cpp            outlier detection, ejection and zone outages
+//   overdue_attempts.cpp  unresponsive servers and overdue attempts
+//   choose.cpp            server choice (LARD)
+//   send_rules.cpp        the rules that every send passes, admission, and the end of requests
+//   attempts.cpp          the life of a request: sends, holds, outcomes, timers
+//   outcomes.cpp          what outcomes teach about servers, keys, the origin and retries
+//   server_list.cpp       the server list
+#ifndef BEECHLEDGE_POLICY_CORE_H_
+#define BEECHLEDGE_POLICY_CORE_H_
 
 #include <cmath>
 #include <random>
@@ -16,22 +16,22 @@
 #include <utility>
 
 #include "base/stable_hash.h"
-#include "beechledge/kept.h"
-#include "choice/records.h"
-#include "choice/tuning.h"
-#include "recovery/list_calls.h"
+#include "beechledge/learned_state.h"
+#include "estimates/admission.h"
+#include "estimates/answer_times.h"
+#include "estimates/key_table.h"
+#include "estimates/origin_limiter.h"
+#include "estimates/own_zone_share.h"
+#include "estimates/server_latencies.h"
+#include "estimates/zone_health.h"
+#include "policy/records.h"
+#include "policy/tuning.h"
+#include "recovery/list_call_backoff.h"
 #include "recovery/startup.h"
-#include "sight/admission.h"
-#include "sight/halls.h"
-#include "sight/home_share.h"
-#include "sight/key_table.h"
-#include "sight/origin_pace.h"
-#include "sight/paces.h"
-#include "sight/times.h"
 
 namespace beechledge {
 
-using namespace choice;
+using namespace policy;
 
 class Balancer::Core {
  public:
@@ -188,4 +188,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_CHOICE_CORE_H_
+#endif  // BEECHLEDGE_POLICY_CORE_H_
--- a/src/choice/health.cpp
+++ b/src/policy/health.cpp
@@ -1,5 +1,5 @@
 // Outlier detection: which servers and zones are avoided after failures, and for how long.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/load.cpp
+++ b/src/policy/load.cpp
@@ -1,5 +1,5 @@
 // Load estimates from in-flight requests and server reports, and the budgets of cold servers.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/learn.cpp
+++ b/src/policy/outcomes.cpp
@@ -1,5 +1,5 @@
 // What the module learns from an outcome: about its server, its key, the origin and retries.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/silence.cpp
+++ b/src/policy/overdue_attempts.cpp
@@ -1,5 +1,5 @@
 // Finds outstanding attempts that will not be answered in time and cancels them where a retry is safe.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/records.h
+++ b/src/policy/records.h
@@ -1,14 +1,14 @@
 // The module's records of servers, attempts and requests.
-#ifndef BEECHLEDGE_CHOICE_RECORDS_H_
-#define BEECHLEDGE_CHOICE_RECORDS_H_
+#ifndef BEECHLEDGE_POLICY_RECORDS_H_
+#define BEECHLEDGE_POLICY_RECORDS_H_
 
 #include <algorithm>
 #include <vector>
 
 #include "beechledge/balancer.h"
-#include "sight/smoothed.h"
+#include "estimates/smoothed.h"
 
-namespace beechledge::choice {
+namespace beechledge::policy {
 
 struct Server {
   bool known = false;   // has been listed under this name
@@ -87,6 +87,6 @@
 
 enum class TimerKind { kDeadline, kHedge, kHeld, kListCall, kWatch };
 
-}  // namespace beechledge::choice
+}  // namespace beechledge::policy
 
-#endif  // BEECHLEDGE_CHOICE_RECORDS_H_
+#endif  // BEECHLEDGE_POLICY_RECORDS_H_
--- a/src/choice/gate.cpp
+++ b/src/policy/send_rules.cpp
@@ -1,5 +1,5 @@
 // The gate: every send passes TrySend, which enforces all rules; also admission and the end of requests.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/list.cpp
+++ b/src/policy/server_list.cpp
@@ -1,5 +1,5 @@
 // The server list: applies updates and schedules the calls to discovery.
-#include "choice/core.h"
+#include "policy/core.h"
 
 namespace beechledge {
 
--- a/src/choice/tuning.h
+++ b/src/policy/tuning.h
@@ -1,7 +1,7 @@
 // Tuning constants of the decision module: those of the LARD paper, then this project's. None is fitted to
 // a particular deployment.
-#ifndef BEECHLEDGE_CHOICE_TUNING_H_
-#define BEECHLEDGE_CHOICE_TUNING_H_
+#ifndef BEECHLEDGE_POLICY_TUNING_H_
+#define BEECHLEDGE_POLICY_TUNING_H_
 
 #include "beechledge/balancer.h"
 
@@ -81,4 +81,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_CHOICE_TUNING_H_
+#endif  // BEECHLEDGE_POLICY_TUNING_H_
--- a/src/protocol/door.cpp
+++ b/src/protocol/admin_http.cpp
@@ -1,4 +1,4 @@
-#include "protocol/door.h"
+#include "protocol/admin_http.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/protocol/door.h
+++ b/src/protocol/admin_http.h
@@ -1,7 +1,7 @@
 // HTTP/1.1 as the admin interface uses it, with one request per connection: parses requests and formats
-// answers. Pure functions of bytes; the listener and its deadlines are in net/door.
-#ifndef BRASSWOOD_PROTOCOL_DOOR_H_
-#define BRASSWOOD_PROTOCOL_DOOR_H_
+// answers. Pure functions of bytes; the listener and its deadlines are in net/admin_server.
+#ifndef BRASSWOOD_PROTOCOL_ADMIN_HTTP_H_
+#define BRASSWOOD_PROTOCOL_ADMIN_HTTP_H_
 
 #include <cstddef>
 #include <string>
@@ -34,4 +34,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_PROTOCOL_DOOR_H_
+#endif  // BRASSWOOD_PROTOCOL_ADMIN_HTTP_H_
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "config/limits.h"
-#include "core/ends.h"
+#include "core/interfaces.h"
 #include "protocol/parse.h"
 
 namespace brasswood {
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -9,7 +9,7 @@
 
 #include "config/limits.h"
 #include "config/settings.h"
-#include "core/ends.h"
+#include "core/interfaces.h"
 #include "protocol/parse.h"
 
 namespace brasswood {
--- a/src/recovery/list_calls.h
+++ b/src/recovery/list_call_backoff.h
@@ -16,14 +16,14 @@
 // If lists are pushed, a local agent has them. It serves this router alone, and what it has counts as
 // received at once, so its calls need no spreading; a failed call is repeated well within the time in which
 // the router must learn of a drain.
-#ifndef BRASSWOOD_RECOVERY_LIST_CALLS_H_
-#define BRASSWOOD_RECOVERY_LIST_CALLS_H_
+#ifndef BRASSWOOD_RECOVERY_LIST_CALL_BACKOFF_H_
+#define BRASSWOOD_RECOVERY_LIST_CALL_BACKOFF_H_
 
 #include <algorithm>
 #include <cmath>
 
 #include "beechledge/balancer.h"
-#include "sight/smoothed.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -84,4 +84,4 @@
 
 }  // namespace beechledge
 
-#endif  // BRASSWOOD_RECOVERY_LIST_CALLS_H_
+#endif  // BRASSWOOD_RECOVERY_LIST_CALL_BACKOFF_H_
--- a/src/state/whole_file.cpp
+++ b/src/state/atomic_file.cpp
@@ -1,4 +1,4 @@
-#include "state/whole_file.h"
+#include "state/atomic_file.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/src/state/whole_file.h
+++ b/src/state/atomic_file.h
@@ -1,8 +1,8 @@
 // Atomic file writes: the content is written to a temporary file, synced and renamed into place, so that a
 // reader never sees a partial file. These functions block for as long as the disk takes: call them on the
 // disk thread (state/disk_thread.h).
-#ifndef BRASSWOOD_STATE_WHOLE_FILE_H_
-#define BRASSWOOD_STATE_WHOLE_FILE_H_
+#ifndef BRASSWOOD_STATE_ATOMIC_FILE_H_
+#define BRASSWOOD_STATE_ATOMIC_FILE_H_
 
 #include <cstddef>
 #include <optional>
@@ -21,4 +21,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_STATE_WHOLE_FILE_H_
+#endif  // BRASSWOOD_STATE_ATOMIC_FILE_H_
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,6 +1,6 @@
 // The state that a router with a disk preserves over a restart: the server list with its version, the
 // servers that operators suspended, and what the decision module has learnt. This file only encodes and
-// decodes it; state/keeper.h decides when and where it is written.
+// decodes it; state/snapshot_keeper.h decides when and where it is written.
 //
 // The first line contains the format's name and version, and the size and checksum (CRC-32) of the body.
 // The body is JSON.
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "beechledge/kept.h"
+#include "beechledge/learned_state.h"
 #include "discovery/server_list.h"
 
 namespace brasswood {
--- a/src/state/keeper.cpp
+++ b/src/state/snapshot_keeper.cpp
@@ -1,4 +1,4 @@
-#include "state/keeper.h"
+#include "state/snapshot_keeper.h"
 
 #include <rapidjson/document.h>
 
@@ -11,7 +11,7 @@
 
 #include "base/log.h"
 #include "config/json.h"
-#include "state/whole_file.h"
+#include "state/atomic_file.h"
 
 namespace brasswood {
 namespace {
--- a/src/state/keeper.h
+++ b/src/state/snapshot_keeper.h
@@ -1,8 +1,8 @@
 // Persists a router's state: writes a snapshot every few seconds and at shutdown, on the disk thread and in
 // two generations, and reads one at the start. Used only by installations with a local disk:
 // $BRASSWOOD_STATE names the settings file, which says where. deploy/state.json is an example.
-#ifndef BRASSWOOD_STATE_KEEPER_H_
-#define BRASSWOOD_STATE_KEEPER_H_
+#ifndef BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
+#define BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
 
 #include <functional>
 #include <memory>
@@ -62,4 +62,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_STATE_KEEPER_H_
+#endif  // BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "beechledge/balancer.h"
-#include "beechledge/kept.h"
+#include "beechledge/learned_state.h"
 
 namespace beechledge::testing {
 
--- a/tests/sight/parts_test.cpp
+++ b/tests/estimates/estimates_test.cpp
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "config/limits.h"
-#include "recovery/list_calls.h"
-#include "sight/admission.h"
-#include "sight/home_share.h"
-#include "sight/key_table.h"
-#include "sight/origin_pace.h"
-#include "sight/times.h"
+#include "estimates/admission.h"
+#include "estimates/answer_times.h"
+#include "estimates/key_table.h"
+#include "estimates/origin_limiter.h"
+#include "estimates/own_zone_share.h"
+#include "recovery/list_call_backoff.h"
 
 namespace beechledge::testing {
 namespace {
--- a/tests/sight/paces_test.cpp
+++ b/tests/estimates/server_latencies_test.cpp
@@ -1,5 +1,5 @@
 // Relative latencies and weights of servers, learned from few answers: the class alone, and in the module.
-#include "sight/paces.h"
+#include "estimates/server_latencies.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/lab/back_test.cpp
+++ b/tests/lab/back_test.cpp
@@ -9,8 +9,8 @@
 #include "lab/base/plan.h"
 #include "lab/report/service.h"
 #include "site.h"
+#include "state/atomic_file.h"
 #include "state/snapshot.h"
-#include "state/whole_file.h"
 
 using namespace brasswood;
 using namespace brasswood::lab;
--- a/tests/lab/explore_test.cpp
+++ b/tests/lab/explore_test.cpp
@@ -4,8 +4,8 @@
 #include <sstream>
 
 #include "lab/explore/directory_exploration.h"
+#include "lab/explore/discovery_load.h"
 #include "lab/explore/list_exploration.h"
-#include "lab/explore/list_press.h"
 
 using namespace brasswood::lab;
 
--- a/tests/lab/parts_test.cpp
+++ b/tests/lab/parts_test.cpp
@@ -13,7 +13,7 @@
 #include "lab/run/soak.h"
 #include "lab/world/http_request.h"
 #include "lab/world/key_store.h"
-#include "lab/world/station.h"
+#include "lab/world/work_queue.h"
 
 using namespace brasswood;
 using namespace brasswood::lab;
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/rule_checker_test.cpp
@@ -1,6 +1,6 @@
 // The rule checker on constructed records: one case for each way to violate a rule, and a similar case that
 // violates none.
-#include "lab/truth/judge.h"
+#include "lab/truth/rule_checker.h"
 
 #include <catch2/catch.hpp>
 #include <functional>
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -26,7 +26,7 @@
   std::ifstream file(std::string(BEECHLEDGE_POLICY_FOLDER) + "/../../deploy/balancer.toml");
   const std::string deploy((std::istreambuf_iterator<char>(file)), {});
   for (const auto& part : std::filesystem::directory_iterator(BEECHLEDGE_POLICY_FOLDER)) {
-    const std::string name = "\"src/choice/" + part.path().filename().string() + "\"";
+    const std::string name = "\"src/policy/" + part.path().filename().string() + "\"";
     EXPECT_NE(deploy.find(name), std::string::npos) << name;
   }
 }
--- a/tests/net/door_test.cpp
+++ b/tests/net/admin_test.cpp
@@ -1,6 +1,4 @@
 // The admin interface: first its parser and calls without sockets, then that of the program over loopback.
-#include "protocol/door.h"
-
 #include <sys/stat.h>
 
 #include <catch2/catch.hpp>
@@ -11,12 +9,13 @@
 #include <vector>
 
 #include "admin/calls.h"
-#include "admin/figures.h"
-#include "admin/live_marks.h"
+#include "admin/heartbeat_files.h"
+#include "admin/metrics.h"
 #include "admin/operator_state.h"
 #include "config/limits.h"
+#include "protocol/admin_http.h"
+#include "state/atomic_file.h"
 #include "state/disk_thread.h"
-#include "state/whole_file.h"
 #include "world.h"
 
 using namespace brasswood;
--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "discovery/news_ledger.h"
+#include "discovery/availability_record.h"
 #include "discovery/server_directory.h"
 
 using namespace brasswood;
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -14,8 +14,8 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/attempt_pool.h"
-#include "net/client_front.h"
-#include "net/discovery_watch.h"
+#include "net/client_front_end.h"
+#include "net/discovery_client.h"
 #include "net/loop.h"
 #include "world.h"
 
--- a/tests/net/state_test.cpp
+++ b/tests/net/state_test.cpp
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "recovery/startup.h"
-#include "state/keeper.h"
+#include "state/atomic_file.h"
 #include "state/snapshot.h"
-#include "state/whole_file.h"
+#include "state/snapshot_keeper.h"
 #include "world.h"
 
 using namespace brasswood;
