--- a/src/state/snapshot_keeper.h
+++ b/src/state/snapshot_keeper.h
@@ -33,7 +33,7 @@
 
 class SnapshotKeeper {
  public:
-  // `router`: the router's name. The references must outlive the keeper.
+  // `router`: the router's name. The references must outlive this object.
   SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
                  std::function<Time()> now);
 
