--- a/lab/explore/list_press.cpp
+++ b/lab/explore/discovery_load.cpp
@@ -1,4 +1,4 @@
-#include "lab/explore/list_press.h"
+#include "lab/explore/discovery_load.h"
 
 #include <algorithm>
 #include <deque>
@@ -33,7 +33,7 @@
       caller.limits.watch_grace = caller.limits.connect = milliseconds(1000);
       caller.limits.answer = milliseconds(1500);
       caller.limits.drain_grace = milliseconds(1000);
-      caller.limits.apart = milliseconds(static_cast<int>(250 * phase));
+      caller.limits.reopen_offset = milliseconds(static_cast<int>(250 * phase));
       const auto number = static_cast<std::size_t>(r);
       auto router = std::make_unique<Router>();
       router->driver = std::make_unique<CallerDriver>(
@@ -111,7 +111,7 @@
     for (const CallId each : ended) {
       if (routers_[r]->calls.erase(each) == 0) continue;
       Dispatch(r, [&](ListCaller& caller, ListActions& out) {
-        caller.Failed(time_.now(), each, CallEnd::kRefused, out);
+        caller.Failed(time_.now(), each, CallEndReason::kRefused, out);
       });
     }
   }
@@ -165,9 +165,9 @@
   return DiscoveryLoad(plan, make).Run();
 }
 
-void PrintPress(std::uint64_t seed, std::ostream& out) {
+void PrintDiscoveryLoad(std::uint64_t seed, std::ostream& out) {
   const std::pair<const char*, MakeCaller> state_machines[] = {{"refresher", MakeRefresher},
-                                                               {"chained", MakeChained}};
+                                                               {"chained", MakeChainedTimeouts}};
   // -1e-09 means that it did not happen.
   out << "machine routers each_ms all_heard_s calls forsaken calls_each_s news_heard_s\n";
   for (const auto& [name, make] : state_machines) {
--- a/lab/explore/list_press.h
+++ b/lab/explore/discovery_load.h
@@ -1,7 +1,7 @@
 // Measures, in virtual time, the load that a fleet puts on a discovery that serves calls one after the
 // other, including calls that their routers have closed meanwhile.
-#ifndef BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
-#define BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
+#ifndef BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
+#define BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
 
 #include "lab/explore/list_exploration.h"
 
@@ -37,8 +37,8 @@
 DiscoveryLoadFigures MeasureDiscoveryLoad(const DiscoveryLoadPlan& plan, const MakeCaller& make);
 
 // Prints the results of both state machines for fleets of 6, 30 and 300 routers and 1, 10 and 50 ms a call.
-void PrintPress(std::uint64_t seed, std::ostream& out);
+void PrintDiscoveryLoad(std::uint64_t seed, std::ostream& out);
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_EXPLORE_LIST_PRESS_H_
+#endif  // BRASSWOOD_LAB_EXPLORE_DISCOVERY_LOAD_H_
--- a/lab/explore/list_caller.h
+++ b/lab/explore/list_caller.h
@@ -17,7 +17,7 @@
   virtual void Connected(Time now, CallId id) = 0;
   virtual void Progress(Time now, CallId id) = 0;
   virtual void Answered(Time now, CallId id, std::int64_t version, ListActions& out) = 0;
-  virtual void Failed(Time now, CallId id, CallEnd why, ListActions& out) = 0;
+  virtual void Failed(Time now, CallId id, CallEndReason why, ListActions& out) = 0;
   virtual void Wake(Time now, ListActions& out) = 0;
   virtual Time Next() const = 0;
 };
@@ -33,7 +33,7 @@
 
 // The faulty one: it has one call open at a time, closes it after a fixed timeout, and waits as after a
 // refusal before the next one. Each timeout is reasonable by itself, but their sum is unbounded.
-std::unique_ptr<ListCaller> MakeChained(const CallerPlan& plan);
+std::unique_ptr<ListCaller> MakeChainedTimeouts(const CallerPlan& plan);
 
 }  // namespace brasswood::lab
 
--- a/lab/faulty/main.cpp
+++ b/lab/faulty/main.cpp
@@ -33,7 +33,7 @@
   kLateAnswer,    // some answers are sent after the deadline
   kForeignValue,  // some values are invented by the router
   kLateDrain,     // the first change of the server list is ignored, and the list never read again
-  kColdPush,      // all reads go to the cache server that started last
+  kColdOverload,  // all reads go to the cache server that started last
   kTwoAtOnce,     // reads go to two cache servers at the same time
   kRefusedRun     // writes that ran are refused as not run
 };
@@ -113,7 +113,8 @@
       s.Write(WriteGet(config_.discovery, ListPath(std::nullopt, Duration(0))));
       HttpAnswer answer;
       if (!s.Read([&](std::string_view in, std::size_t& used) {
-            return ParseHttpAnswer(in, config_.limits.list, config_.limits, InputEnd::kOpen, used, answer);
+            return ParseHttpAnswer(in, config_.limits.max_list, config_.limits, InputEnd::kOpen, used,
+                                   answer);
           })) {
         continue;
       }
@@ -121,7 +122,7 @@
       const auto list = ReadServerList(answer.body, config_.settings.names, config_.limits, why);
       const std::lock_guard lock(lock_);
       if (!list) continue;
-      const bool changed = list->entries.size() != list_.entries.size() || list->rev != list_.rev;
+      const bool changed = list->entries.size() != list_.entries.size() || list->version != list_.version;
       list_changed_ = list_changed_ || changed;
       // With kLateDrain the router has received the change, but goes on with the earlier list.
       if (fault_ != Fault::kLateDrain) list_ = *list;
@@ -150,7 +151,7 @@
       if (!IsOrigin(e) && e.availability == Availability::kUp) in_service.push_back(&e);
     }
     if (in_service.empty()) return {};
-    if (fault_ == Fault::kColdPush) {
+    if (fault_ == Fault::kColdOverload) {
       const auto last =
           std::max_element(in_service.begin(), in_service.end(),
                            [](const auto* a, const auto* b) { return a->started < b->started; });
@@ -160,8 +161,8 @@
     return {in_service[n]->endpoint, in_service[(n + 1) % in_service.size()]->endpoint};
   }
 
-  AttemptEnd ReadCacheAnswer(Socket& s, const RequestContent& request) {
-    AttemptEnd end;
+  AttemptResult ReadCacheAnswer(Socket& s, const RequestContent& request) {
+    AttemptResult end;
     if (!s.Read([&](std::string_view in, std::size_t& used) {
           return ParseAttemptReply(in, request, config_.limits, used, end);
         })) {
@@ -170,16 +171,17 @@
     return end;
   }
 
-  AttemptEnd AskOrigin(const RequestContent& request) {
+  AttemptResult AskOrigin(const RequestContent& request) {
     Socket s(-1);
-    AttemptEnd end;
+    AttemptResult end;
     end.result = Result::kReset;
     const std::string origin = Origin();
     if (!s.Connect(origin)) return end;
     s.Write(WriteOriginAttempt(origin, request, std::chrono::seconds(1)));
     HttpAnswer answer;
     if (s.Read([&](std::string_view in, std::size_t& used) {
-          return ParseHttpAnswer(in, config_.limits.value, config_.limits, InputEnd::kOpen, used, answer);
+          return ParseHttpAnswer(in, config_.limits.max_value, config_.limits, InputEnd::kOpen, used,
+                                 answer);
         })) {
       end = ReadOriginAnswer(std::move(answer), request);
     }
@@ -187,7 +189,7 @@
   }
 
   Answer Execute(const RequestContent& request) {
-    AttemptEnd end;
+    AttemptResult end;
     end.result = Result::kMiss;
     if (!request.write) {
       const std::vector<std::string> servers = CacheServersFor(request.key);
@@ -233,7 +235,7 @@
       if (fault_ == Fault::kLateAnswer && faulty) {
         std::uint64_t ms = 0;
         EachLabel(command.content.labels, [&](std::string_view name, std::string_view value) {
-          if (name == "d") ms = WholeNumber(value).value_or(0);
+          if (name == "d") ms = ParseUnsigned(value).value_or(0);
         });
         std::this_thread::sleep_for(std::chrono::milliseconds(ms + 250));
       }
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -23,8 +23,8 @@
   Load(const Scenario& scenario, const std::vector<std::string>& routers);
   ~Load();
 
-  // Sends from `start` on until the scenario's length has passed and every intent has ended, or Stop. To be
-  // called on a thread of its own.
+  // Sends from `start` on until the scenario's length has passed and every client_request has ended, or
+  // Stop. To be called on a thread of its own.
   void Run(Time start);
   // From any thread: nothing more is sent, and Run returns soon. Requests that are open then stay open.
   void Stop() { stop_ = true; }
@@ -32,7 +32,7 @@
   std::uint64_t sent() const { return sent_; }
   std::uint64_t served() const { return served_; }
   // After Run. A try that Stop interrupted has the end kOpen and no end time.
-  LoadTruth TakeTruth();
+  LoadRecord TakeRecord();
 
  private:
   struct Connection {
@@ -43,20 +43,20 @@
     BufferPtr buffer;
     bool connected = false;    // established
     bool reused = false;       // a try on it has been answered
-    long long try_index = -1;  // index of the open try in LoadTruth::tries; -1: none
+    long long try_index = -1;  // index of the open try in LoadRecord::tries; -1: none
     Deadlines::Id deadline;
     Deadlines::Id leave_timer;  // when its client closes it before the answer
     bool flood = false;         // opened by a flood or crowd fault: carries no request
     bool crowd = false;         // with `flood`: asks once whether the router is ready
   };
-  struct IntentState {  // the state of an intent
+  struct ClientRequestState {  // the state of an client_request
     Arrival arrival;
     int tries = 0, unreachable = 0;
   };
 
   void SendDue();
-  void StartNextTry(std::uint32_t intent);
-  void StartTry(std::uint32_t intent, RequestId id, int number, bool resent);
+  void StartNextTry(std::uint32_t client_request);
+  void StartTry(std::uint32_t client_request, RequestId id, int number, bool resent);
   Connection* Open(int router, std::uint32_t client, bool flood);
   void OpenFloodConnection(int router, bool crowd);
   int PickRouter(int hall);
@@ -64,7 +64,7 @@
   void MaybeLeave(const Connection& connection);
   void OnRead(Connection& connection);
   void OnEvent(Connection& connection, short what);
-  void EndTry(Connection& connection, TryEnd end);
+  void EndTry(Connection& connection, TryOutcome end);
   void RetryOrFinish(const TryRecord& client_try);
   void KeepConnection(Connection& connection);
   void Close(std::uint64_t id);
@@ -80,8 +80,8 @@
   Rng rng_;
   Time start_{0};
   std::optional<Arrival> next_;
-  LoadTruth truth_;
-  std::vector<IntentState> states_;  // by intent
+  LoadRecord truth_;
+  std::vector<ClientRequestState> states_;  // by client_request
   std::vector<Duration> lateness_;
   Slots<std::unique_ptr<Connection>> connections_;
   std::vector<std::vector<std::uint64_t>> idle_;  // connections by client; the most recently used last
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 
 #include "lab/explore/directory_exploration.h"
+#include "lab/explore/discovery_load.h"
 #include "lab/explore/list_exploration.h"
-#include "lab/explore/list_press.h"
 #include "lab/run/soak.h"
 #include "lab/run/studies.h"
 
@@ -232,14 +232,14 @@
       exit = RunSoak(soak_plan, study, side, std::cout);
     }
     if (*explore) {
-      const MakeCaller make = explore_chained ? MakeChained : MakeRefresher;
+      const MakeCaller make = explore_chained ? MakeChainedTimeouts : MakeRefresher;
       const auto last = explore_first + explore_seeds - 1;
       const int broken = explore_directory
                              ? ExploreDirectory(explore_first, last, DirectoryFault::kNone, std::cout)
                              : Explore(explore_first, last, make, std::cout);
       exit = broken == 0 ? Exit::kSuccess : Exit::kFailed;
     }
-    if (*press) PrintPress(press_seed, std::cout);
+    if (*press) PrintDiscoveryLoad(press_seed, std::cout);
     if (*check) {
       for (const std::string& file : files) {
         (void)LoadScenario(FindScenario(file));
--- a/lab/truth/push_meter.h
+++ b/lab/truth/overload_meter.h
@@ -1,8 +1,8 @@
 // Compares the work that a server is sent with its capacity at that moment. The emulated servers use it to
 // decide when they are overloaded and stop serving, the rule checker to decide whether a router overloaded
 // a cold server: both count in the same way.
-#ifndef BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
-#define BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
+#ifndef BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
+#define BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
 
 #include <algorithm>
 #include <deque>
@@ -24,7 +24,7 @@
         static_cast<double>((now - started).count()) / static_cast<double>(ramp.count());
     return full * (cold_from + (1 - cold_from) * std::max(0.0, ramp_share));
   }
-  bool Cold(Time now) const { return started != Time(0) && now < started + ramp; }
+  bool IsCold(Time now) const { return started != Time(0) && now < started + ramp; }
 };
 
 // A work budget for a sliding window of length `window`: `multiple` times the present capacity times the
@@ -57,4 +57,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_TRUTH_PUSH_METER_H_
+#endif  // BRASSWOOD_LAB_TRUTH_OVERLOAD_METER_H_
--- a/lab/world/machine.h
+++ b/lab/world/backend_server.h
@@ -1,16 +1,16 @@
 // What cache servers and the origin have in common: they receive attempts, process them on a limited number
 // of cores, answer in order, cancel an attempt when its connection closes, and record each attempt.
-#ifndef BRASSWOOD_LAB_WORLD_MACHINE_H_
-#define BRASSWOOD_LAB_WORLD_MACHINE_H_
+#ifndef BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
+#define BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
 
 #include <string>
 #include <unordered_map>
 
 #include "lab/base/plan.h"
-#include "lab/truth/push_meter.h"
+#include "lab/truth/overload_meter.h"
 #include "lab/truth/truth.h"
 #include "lab/world/server.h"
-#include "lab/world/station.h"
+#include "lab/world/work_queue.h"
 
 namespace brasswood::lab {
 
@@ -45,12 +45,12 @@
     std::string key;
     Deadlines::Id deadline;
   };
-  MachineRecord& server_record();
+  ServerRecord& server_record();
   // Records an attempt that has been received completely.
   std::size_t RecordAttempt(Peer& peer, RequestId id, double work_s, bool write);
   // Processes the attempt on a core, now or once one is free; false if the queue is full.
   bool Enqueue(Peer& peer, std::size_t record, double work_s, std::string key);
-  void FinishAttempt(Peer& peer, std::size_t record, Fate fate, std::string text);
+  void FinishAttempt(Peer& peer, std::size_t record, AttemptOutcome outcome, std::string text);
   // The work of the attempt is done: writes its answer.
   virtual void OnWorkDone(Peer& peer, const Attempt& attempt) = 0;
   void OnClosed(Peer& peer, bool reset) override;
@@ -75,4 +75,4 @@
 
 }  // namespace brasswood::lab
 
-#endif  // BRASSWOOD_LAB_WORLD_MACHINE_H_
+#endif  // BRASSWOOD_LAB_WORLD_BACKEND_SERVER_H_
--- a/src/admin/state_file.cpp
+++ b/src/admin/operator_state_file.cpp
@@ -1,8 +1,8 @@
-#include "admin/state_file.h"
+#include "admin/operator_state_file.h"
 
 #include <cstdlib>
 
-#include "state/whole_file.h"
+#include "state/atomic_file.h"
 
 namespace brasswood {
 
@@ -11,20 +11,20 @@
   return directory == nullptr || *directory == '\0' ? std::string("/tmp") : std::string(directory);
 }
 
-StateFile::StateFile(const std::string& directory, const std::string& name)
+OperatorStateFile::OperatorStateFile(const std::string& directory, const std::string& name)
     : path_(directory + "/brasswood-" + (name.empty() ? std::string("router") : name) + ".operator") {}
 
-std::optional<OperatorState> StateFile::Read(std::string& error) const {
+std::optional<OperatorState> OperatorStateFile::Read(std::string& error) const {
   constexpr std::size_t kMaxBytes = 1 << 20;  // far above any real state; a larger file is not ours
-  const auto text = ReadWhole(path_, kMaxBytes, error);
+  const auto text = ReadFile(path_, kMaxBytes, error);
   if (!text) return std::nullopt;
   auto state = Decode(*text);
   if (!state) error = path_ + ": torn or of another layout";
   return state;
 }
 
-bool StateFile::Write(const OperatorState& state, std::string& error) const {
-  return WriteWhole(path_, Encode(state), error);
+bool OperatorStateFile::Write(const OperatorState& state, std::string& error) const {
+  return WriteFileAtomically(path_, Encode(state), error);
 }
 
 }  // namespace brasswood
--- a/src/admin/state_file.h
+++ b/src/admin/operator_state_file.h
@@ -1,8 +1,8 @@
 // The operator state on disk: one small file in $TMPDIR. It is written to a temporary file that is then
 // renamed over the old one, so that any reader, such as the other process of a replacement, sees the
 // complete old or the complete new state.
-#ifndef BRASSWOOD_ADMIN_STATE_FILE_H_
-#define BRASSWOOD_ADMIN_STATE_FILE_H_
+#ifndef BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
+#define BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
 
 #include <optional>
 #include <string>
@@ -11,10 +11,10 @@
 
 namespace brasswood {
 
-class StateFile {
+class OperatorStateFile {
  public:
   // `name`: the router's, the same in both processes of a replacement.
-  StateFile(const std::string& directory, const std::string& name);
+  OperatorStateFile(const std::string& directory, const std::string& name);
 
   // Returns nothing and leaves `error` empty if there is no file, because no state was ever stored. Returns
   // nothing and sets `error` if the file cannot be read, is incomplete or has another format.
@@ -33,4 +33,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_STATE_FILE_H_
+#endif  // BRASSWOOD_ADMIN_OPERATOR_STATE_FILE_H_
--- a/src/admin/operator.h
+++ b/src/admin/router_operations.h
@@ -4,8 +4,8 @@
 // processes of a replacement agree: each writes the file at every change and reads it every
 // `Limits::state_poll_interval`. All disk access runs on a thread of its own, so that a disk that is full,
 // broken or stalled delays nothing else.
-#ifndef BRASSWOOD_ADMIN_OPERATOR_H_
-#define BRASSWOOD_ADMIN_OPERATOR_H_
+#ifndef BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
+#define BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "admin/calls.h"
-#include "admin/live_marks.h"
-#include "admin/state_file.h"
+#include "admin/heartbeat_files.h"
+#include "admin/operator_state_file.h"
 #include "base/counters.h"
 #include "config/limits.h"
 #include "config/settings.h"
@@ -36,9 +36,10 @@
 class RouterOperations : public Operations {
  public:
   // `file` may be null: then the operator state is not stored. All references must outlive this object.
-  RouterOperations(Engine& engine, const Counters& counters, const Names& names, ClientFrontHooks front,
-                   const Limits& limits, Deadlines& deadlines, std::function<Time()> now,
-                   std::unique_ptr<StateFile> file, std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
+  RouterOperations(Engine& engine, const Counters& counters, const SettingNames& names,
+                   ClientFrontHooks front, const Limits& limits, Deadlines& deadlines,
+                   std::function<Time()> now, std::unique_ptr<OperatorStateFile> file,
+                   std::unique_ptr<HeartbeatFiles> heartbeats = nullptr);
 
   // Applies the stored state. Call it before the first server list is applied, so that no attempt goes to a
   // suspended server. Waits for the disk for at most `Limits::state_disk_timeout`.
@@ -50,7 +51,7 @@
   std::string MetricsText() const override;
   bool Suspend(const std::string& id) override;
   bool Resume(const std::string& id) override;
-  void WhenKept(std::function<void(const std::string& error)> callback) override;
+  void WhenStored(std::function<void(const std::string& error)> callback) override;
   void Drain() override;
   void Activate() override;
 
@@ -72,13 +73,13 @@
 
   Engine& engine_;
   const Counters& counters_;
-  const Names& names_;
+  const SettingNames& names_;
   ClientFrontHooks front_;
   const Limits& limits_;
   Deadlines& deadlines_;
   std::function<Time()> now_;
   // Shared with the disk thread, which may outlive this object while a call to the disk is stuck.
-  std::shared_ptr<StateFile> file_;
+  std::shared_ptr<OperatorStateFile> file_;
   std::shared_ptr<HeartbeatFiles> heartbeats_;
   std::size_t process_count_ = 1;
   // Numbers of changes by operators: the latest one, and the latest one that is stored.
@@ -99,4 +100,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_ADMIN_OPERATOR_H_
+#endif  // BRASSWOOD_ADMIN_ROUTER_OPERATIONS_H_
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -4,7 +4,7 @@
 
 namespace brasswood {
 
-const char* NameOf(std::size_t result) {
+const char* ResultName(std::size_t result) {
   static constexpr const char* kResultNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
                                                  "reset", "cancelled", "moot", "miss",    "spoilt"};
   return result < std::size(kResultNames) ? kResultNames[result] : "unknown";
@@ -16,14 +16,14 @@
       << " made_way=" << c.made_way << " served=" << c.served << " refused=" << c.refused
       << " failed=" << c.failed << " gone=" << c.gone << " attempts_sent=" << c.attempts_sent;
   for (std::size_t i = 0; i < c.attempts_ended.size(); ++i) {
-    out << " attempts_" << NameOf(i) << '=' << c.attempts_ended[i];
+    out << " attempts_" << ResultName(i) << '=' << c.attempts_ended[i];
   }
   out << " connections=" << c.connections << " connections_reused=" << c.connections_reused
       << " probes=" << c.probes << " lists=" << c.lists << " lists_refused=" << c.lists_refused
       << " upstream_tries=" << c.upstream_tries << " refused_stopping=" << c.refused_stopping
       << " failed_stopping=" << c.failed_stopping;
   for (std::size_t i = 0; i < c.clients_ended.size(); ++i) {
-    out << " clients_" << kClientEndNames[i] << '=' << c.clients_ended[i];
+    out << " clients_" << kClientEndReasonNames[i] << '=' << c.clients_ended[i];
   }
   for (std::size_t i = 1; i < c.sends_held_back.size(); ++i) {
     out << " held_back_" << kSendVerdictNames[i] << '=' << c.sends_held_back[i];
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -29,13 +29,13 @@
 }
 
 // Replaces server ids by those in `to`, and removes servers and holders that are not in it.
-void RemapServers(beechledge::Kept& learnt, const std::unordered_map<ServerId, ServerId>& to) {
-  std::erase_if(learnt.servers, [&](beechledge::Kept::Server& s) {
+void RemapServers(beechledge::LearnedState& learnt, const std::unordered_map<ServerId, ServerId>& to) {
+  std::erase_if(learnt.servers, [&](beechledge::LearnedState::Server& s) {
     const auto it = to.find(s.id);
     if (it != to.end()) s.id = it->second;
     return it == to.end();
   });
-  std::erase_if(learnt.keys, [&](beechledge::Kept::Key& key) {
+  std::erase_if(learnt.keys, [&](beechledge::LearnedState::Key& key) {
     std::vector<ServerId> holders;
     for (const ServerId id : key.holders) {
       if (const auto it = to.find(id); it != to.end()) holders.push_back(it->second);
@@ -76,7 +76,7 @@
   }
 }
 
-void Engine::Attach(Back& cache_servers, Back& origin, Watch& watch) {
+void Engine::Attach(BackEnd& cache_servers, BackEnd& origin, DiscoverySource& watch) {
   cache_servers_ = &cache_servers;
   origin_ = &origin;
   watch_ = &watch;
@@ -110,13 +110,13 @@
 
 // ---- Requests ----
 
-RequestId Engine::Take(Front& front, std::uint64_t ticket, NewRequest request) {
-  if (requests_.size() >= limits_.requests) {
+RequestId Engine::AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request) {
+  if (requests_.size() >= limits_.max_requests) {
     ++counters_.turned_away;
     CountClass(request.request_class, AnswerKind::kRefused);  // the front end refuses it
     return 0;
   }
-  const Duration wait = std::clamp(request.wait, Duration(0), limits_.longest_wait);
+  const Duration wait = std::clamp(request.wait, Duration(0), limits_.max_deadline);
   beechledge::NewRequest event;
   event.request_class = request.request_class;
   event.tenant = request.tenant;
@@ -158,7 +158,7 @@
   if (request.ended) return;
   MarkEnded(request);
   const Duration late = now_() - request.deadline;
-  counters_.invariants.Expect(request.streaming != 0 || late <= Invariants::kMostLate,
+  counters_.invariants.Expect(request.streaming != 0 || late <= Invariants::kMaxAnswerDelay,
                               Invariant::kAnsweredInTime, request.content->id);
   CountClass(request.request_class, answer.kind);
   switch (answer.kind) {
@@ -234,8 +234,8 @@
   }
   Time until = request->deadline;
   if (a.timeout > Duration(0)) until = std::min(until, now + a.timeout);
-  const Time sent_by = std::min(until, request->repeat_by);
-  const AttemptId id = attempts_.Add({a.id, a.server, attempt, now, sent_by, {}});
+  const Time send_deadline = std::min(until, request->repeat_by);
+  const AttemptId id = attempts_.Add({a.id, a.server, attempt, now, send_deadline, {}});
   request->in_flight.push_back(id);
   request->tried_servers.push_back(a.server);
   attempts_.Find(id)->deadline = deadlines_.Set(until, [this, id] {
@@ -243,7 +243,7 @@
     Pump();
   });
   ++counters_.attempts_sent;
-  BackEndOf(a.server).Start(id, a.server, request->content, until, sent_by);
+  BackEndOf(a.server).Start(id, a.server, request->content, until, send_deadline);
 }
 
 bool Engine::IsUnsafe(const Request& request) const {
@@ -270,13 +270,13 @@
 // Records the outcome of an attempt that must not be sent: it never ran.
 void Engine::HoldBack(const beechledge::Send& a, int attempt, bool complete, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
-  ++counters_.attempts_ended[static_cast<std::size_t>(Result::kMoot)];
+  ++counters_.attempts_ended[static_cast<std::size_t>(Result::kObsolete)];
   beechledge::Outcome moot;
   moot.id = a.id;
   moot.server = a.server;
   moot.attempt = attempt;
   moot.complete = complete;
-  moot.result = Result::kMoot;
+  moot.result = Result::kObsolete;
   Queue(moot);
 }
 
@@ -286,24 +286,24 @@
   const Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr) return;
   const bool sent_completely = BackEndOf(attempt->server).Abandon(id);
-  AttemptEnd end;
+  AttemptResult end;
   // An attempt that was not sent completely cannot have run. For a write that decides between a retry and a
   // failure.
   end.result = why == Result::kTimeout && !sent_completely ? Result::kConnectFailed : why;
   FinishAttempt(id, std::move(end));
 }
 
-void Engine::AttemptEnded(AttemptId id, AttemptEnd end) {
+void Engine::AttemptEnded(AttemptId id, AttemptResult end) {
   FinishAttempt(id, std::move(end));
   Pump();
 }
 
-void Engine::FinishAttempt(AttemptId id, AttemptEnd end) {
+void Engine::FinishAttempt(AttemptId id, AttemptResult end) {
   Attempt* found = attempts_.Find(id);
   if (found == nullptr) return;
   Attempt attempt = *found;
   attempts_.Remove(id);
-  deadlines_.Drop(attempt.deadline);
+  deadlines_.Cancel(attempt.deadline);
   const Duration latency = now_() - attempt.sent;
   if (attempt.request == 0) {
     Queue(beechledge::ProbeResult{attempt.server, end.result, latency, end.report});
@@ -314,15 +314,15 @@
   if (request == nullptr) return;
   LogLine(Level::kDebug) << "attempt " << request->content->id << '/' << attempt.number << " at "
                          << directory_.At(attempt.server).uid << ' '
-                         << NameOf(static_cast<std::size_t>(end.result)) << " after "
+                         << ResultName(static_cast<std::size_t>(end.result)) << " after "
                          << latency.count() / 1000 << " us";
   std::erase(request->in_flight, id);
   const auto of = static_cast<std::size_t>(request->request_class);
-  request->may_have_run = request->may_have_run || !beechledge::NeverRan(end.result);
-  if (!beechledge::NeverRan(end.result) && of < settings_.classes.size() &&
+  request->may_have_run = request->may_have_run || !beechledge::DidNotRun(end.result);
+  if (!beechledge::DidNotRun(end.result) && of < settings_.classes.size() &&
       settings_.classes[of].effect == beechledge::Effect::kKeyed) {
-    request->repeat_by =
-        std::min(request->repeat_by, attempt.sent + settings_.classes[of].window - limits_.transit);
+    request->repeat_by = std::min(request->repeat_by,
+                                  attempt.sent + settings_.classes[of].window - limits_.transit_allowance);
   }
   if (end.result == Result::kOk) {
     AnswerRequest(
@@ -346,14 +346,14 @@
   RemoveIfDone(attempt.request);
 }
 
-bool Engine::AttemptOpened(AttemptId id, std::size_t length) {
+bool Engine::StreamStarted(AttemptId id, std::size_t length) {
   Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr || attempt->request == 0) return false;
   Request* request = requests_.Find(attempt->request);
   if (request == nullptr || request->ended || request->streaming != 0) return false;
   request->streaming = id;
   RestartStallTimer(*attempt, id);
-  request->front->Open(request->ticket, length);
+  request->front->StartStream(request->ticket, length);
   Push(beechledge::FirstByte{attempt->request, attempt->server, attempt->number, now_() - attempt->sent});
   return true;
 }
@@ -362,26 +362,26 @@
 // first bytes, and once a value has started there is no other way to serve it. Only an attempt whose server
 // becomes unresponsive is aborted.
 void Engine::RestartStallTimer(Attempt& attempt, AttemptId id) {
-  deadlines_.Drop(attempt.deadline);
-  attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall, [this, id] {
+  deadlines_.Cancel(attempt.deadline);
+  attempt.deadline = deadlines_.Set(now_() + limits_.stream_stall_timeout, [this, id] {
     AbortAttempt(id, Result::kTimeout);
     Pump();
   });
 }
 
-void Engine::AttemptPiece(AttemptId id, std::string_view bytes) {
+void Engine::StreamChunk(AttemptId id, std::string_view bytes) {
   Attempt* attempt = attempts_.Find(id);
   if (attempt == nullptr) return;
   const Request* request = requests_.Find(attempt->request);
   if (request == nullptr || request->ended || request->streaming != id) return;
   RestartStallTimer(*attempt, id);
-  if (!bytes.empty()) request->front->Piece(request->ticket, bytes);
+  if (!bytes.empty()) request->front->SendChunk(request->ticket, bytes);
 }
 
-std::size_t Engine::Backlog(AttemptId id) const {
+std::size_t Engine::BufferedBytes(AttemptId id) const {
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
-  return request == nullptr || request->ended ? 0 : request->front->Backlog(request->ticket);
+  return request == nullptr || request->ended ? 0 : request->front->BufferedBytes(request->ticket);
 }
 
 // ---- The module's other actions ----
@@ -405,12 +405,12 @@
 void Engine::Execute(const beechledge::SetTimer& a) {
   deadlines_.Set(a.at, [this, token = a.token] { Push(beechledge::TimerFired{token}); });
 }
-void Engine::Execute(const beechledge::Subscribe& a) { watch_->Follow(a.on); }
-void Engine::Execute(const beechledge::FetchList&) { watch_->FetchAll(); }
+void Engine::Execute(const beechledge::Subscribe& a) { watch_->SetWatching(a.on); }
+void Engine::Execute(const beechledge::FetchList&) { watch_->RequestWholeList(); }
 void Engine::Execute(const beechledge::Probe& a) {
   if (!settings_.allowed.probes || a.server >= directory_.size()) return;
   const AttemptId id = attempts_.Add({0, a.server, 0, now_(), {}, {}});
-  attempts_.Find(id)->deadline = deadlines_.Set(now_() + limits_.probe, [this, id] {
+  attempts_.Find(id)->deadline = deadlines_.Set(now_() + limits_.probe_timeout, [this, id] {
     AbortAttempt(id, Result::kTimeout);
     Pump();
   });
@@ -428,15 +428,15 @@
   return id < directory_.size() ? &directory_.At(id) : nullptr;
 }
 
-SendVerdict Engine::JudgeFirstByte(AttemptId id, const std::string& endpoint) const {
+SendVerdict Engine::EvaluateFirstByte(AttemptId id, const std::string& endpoint) const {
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
   SendFacts facts;
   facts.request_open = request != nullptr && !request->ended;
   if (!facts.request_open) return EvaluateSend(facts);
-  facts.client_present = request->front->Present(request->ticket);
+  facts.client_present = request->front->IsConnected(request->ticket);
   facts.now = now_();
-  facts.send_by = attempt->sent_by;
+  facts.send_by = attempt->send_deadline;
   facts.server_serving = directory_.Serving(attempt->server, facts.now, settings_.rules.drain_grace / 2);
   facts.same_endpoint = directory_.At(attempt->server).endpoint == endpoint;
   return EvaluateSend(facts);
@@ -444,7 +444,7 @@
 
 // Guards against a loop where the request of a client that has gone is retried on another server at once
 // and held back again.
-void Engine::HeldBack(AttemptId id, SendVerdict why) {
+void Engine::AttemptHeldBack(AttemptId id, SendVerdict why) {
   ++counters_.sends_held_back[static_cast<std::size_t>(why)];
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
@@ -453,14 +453,14 @@
                            << " held back: " << kSendVerdictNames[static_cast<std::size_t>(why)];
     if (why == SendVerdict::kClientGone) ClientGone(attempt->request);
   }
-  AttemptEnd end;
-  end.result = Result::kMoot;
+  AttemptResult end;
+  end.result = Result::kObsolete;
   AttemptEnded(id, std::move(end));
 }
 
 // Checks the rules on sending after the fact: the bytes were sent one event loop iteration after the guard
 // allowed them, and the process may have been delayed in between.
-void Engine::AttemptLeft(AttemptId id) {
+void Engine::AttemptSent(AttemptId id) {
   ++counters_.upstream_tries;
   const Attempt* attempt = attempts_.Find(id);
   const Request* request = attempt == nullptr ? nullptr : requests_.Find(attempt->request);
@@ -473,19 +473,19 @@
   const bool serving = directory_.Serving(attempt->server, now, grace) &&
                        availability_record_.MaySend(server.uid, now, grace);
   const bool others_end = request->in_flight.size() == 1 || settings_.allowed.parallel_tries;
-  invariants.Expect(!request->ended, Invariant::kSentForOpen, who);
-  invariants.Expect(now < attempt->sent_by + Invariants::kMostHeldUp, Invariant::kSentInTime, who);
-  invariants.Expect(serving, Invariant::kSentToServing, who);
-  invariants.Expect(others_end, Invariant::kSentAlone, who);
-  invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kSentHarmlessly, who);
+  invariants.Expect(!request->ended, Invariant::kSentForOpenRequest, who);
+  invariants.Expect(now < attempt->send_deadline + Invariants::kMaxSendDelay, Invariant::kSentInTime, who);
+  invariants.Expect(serving, Invariant::kSentToServingServer, who);
+  invariants.Expect(others_end, Invariant::kOneAttemptAtATime, who);
+  invariants.Expect(!request->may_have_run || !IsUnsafe(*request), Invariant::kNoDuplicateEffect, who);
 }
 
-void Engine::Remember(const ServerList& known, bool old) {
-  Apply(directory_.SetInitialList(known, now_()), ListKind::kRemembered, old);
+void Engine::SetInitialList(const ServerList& known, bool old) {
+  Apply(directory_.SetInitialList(known, now_()), ListKind::kPersisted, old);
   ready_ = true;
-  LogLine(Level::kInfo) << "list of version " << known.rev << " loaded at the start, "
+  LogLine(Level::kInfo) << "list of version " << known.version << " loaded at the start, "
                         << known.entries.size() << " servers";
-  if (Logs(Level::kDebug)) LogAvoidedServers();
+  if (IsLogged(Level::kDebug)) LogAvoidedServers();
 }
 
 // Logs the servers that the module avoids, twice a second, so that a test can compare them with the servers
@@ -494,47 +494,48 @@
   LogLine line(Level::kDebug);
   line << "avoids:";
   for (ServerId id = 0; id < directory_.size(); ++id) {
-    if (balancer_.Avoids(id)) line << ' ' << directory_.At(id).uid;
+    if (balancer_.IsAvoided(id)) line << ' ' << directory_.At(id).uid;
   }
   deadlines_.Set(now_() + std::chrono::milliseconds(500), [this] { LogAvoidedServers(); });
 }
 
-void Engine::Told(const ServerList& list, const ListOrigin& origin) {
+void Engine::ListReceived(const ServerList& list, const ListOrigin& origin) {
   ++counters_.lists;
   const DirectoryUpdate update = directory_.Merge(list, origin);
   LogVerdict(update, list, origin);
-  if (update.verdict == ListVerdict::kRestartTaken) availability_record_.Reset();
-  const bool whole = update.verdict == ListVerdict::kTaken || update.verdict == ListVerdict::kRestartTaken;
+  if (update.verdict == ListVerdict::kRestartApplied) availability_record_.Reset();
+  const bool whole =
+      update.verdict == ListVerdict::kApplied || update.verdict == ListVerdict::kRestartApplied;
   if (whole) {
-    availability_record_.RecordList(list, origin.arrived);
+    availability_record_.RecordList(list, origin.received_at);
   } else if (update.verdict == ListVerdict::kNoBase) {
-    availability_record_.RecordPart(list, origin.arrived);
+    availability_record_.RecordPart(list, origin.received_at);
   }
   if (!whole && update.named.empty()) return;
-  Apply(update, whole && list.all ? ListKind::kAll : ListKind::kChanges);
+  Apply(update, whole && list.is_whole ? ListKind::kAll : ListKind::kChanges);
   if (!whole) return;
   confirmed_ = true;
   ApplySnapshot();
 }
 
 // An incomplete answer may have been in transit for a long time: its drains have no grace period left.
-void Engine::ToldInPart(const ServerList& part, const ListOrigin& origin) {
-  availability_record_.RecordPart(part, origin.arrived);
+void Engine::PartialListReceived(const ServerList& part, const ListOrigin& origin) {
+  availability_record_.RecordPart(part, origin.received_at);
   ListOrigin late = origin;
-  late.told = std::min(origin.told, now_() - settings_.rules.drain_grace / 2);
+  late.notified_at = std::min(origin.notified_at, now_() - settings_.rules.drain_grace / 2);
   const DirectoryUpdate update = directory_.MergePart(part, late);
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
 
-void Engine::ListRefused() { ++counters_.lists_refused; }
+void Engine::ListCallFailed() { ++counters_.lists_refused; }
 
 void Engine::LogVerdict(const DirectoryUpdate& update, const ServerList& list,
                         const ListOrigin& origin) const {
-  if (update.verdict == ListVerdict::kTaken) return;
-  LogLine(Level::kInfo) << "list of version " << list.rev << " from source " << origin.source << ", call "
-                        << origin.call << ": "
+  if (update.verdict == ListVerdict::kApplied) return;
+  LogLine(Level::kInfo) << "list of version " << list.version << " from source " << origin.source
+                        << ", call " << origin.call << ": "
                         << kListVerdictNames[static_cast<std::size_t>(update.verdict)] << "; asked for "
-                        << (now_() - origin.begun).count() / 1000000
+                        << (now_() - origin.requested_at).count() / 1000000
                         << " ms ago, version held: " << directory_.held().value_or(-1);
 }
 
@@ -568,7 +569,7 @@
   for (const ServerId id : update.changed) LogChange(id);
   beechledge::ServerList list;
   list.kind = kind;
-  list.old = old;
+  list.stale = old;
   if (kind == ListKind::kChanges) {
     for (const ServerId id : update.named) list.entries.push_back(EntryFor(id));
   }
@@ -583,9 +584,9 @@
 
 // ---- State preserved over a restart ----
 
-Snapshot Engine::Keep(std::size_t max_keys) const {
+Snapshot Engine::ExportSnapshot(std::size_t max_keys) const {
   Snapshot s;
-  s.list.rev = directory_.held().value_or(-1);
+  s.list.version = directory_.held().value_or(-1);
   s.suspended = directory_.suspended();
   std::unordered_map<ServerId, ServerId> indexes;
   for (ServerId id = 0; id < directory_.size(); ++id) {
@@ -594,12 +595,12 @@
     indexes[id] = static_cast<ServerId>(s.list.entries.size());
     s.list.entries.push_back(directory_.Reported(id));
   }
-  s.learnt = balancer_.Keep(now_(), max_keys);
-  RemapServers(s.learnt, indexes);
+  s.module_state = balancer_.ExportState(now_(), max_keys);
+  RemapServers(s.module_state, indexes);
   return s;
 }
 
-void Engine::Recall(Snapshot snapshot, double confidence) {
+void Engine::RestoreSnapshot(Snapshot snapshot, double confidence) {
   pending_snapshot_ = std::move(snapshot);
   snapshot_confidence_ = confidence;
   // The snapshot is applied to the list that is already loaded. In a large fleet the first call to
@@ -619,8 +620,8 @@
     if (directory_.Reported(*id).started != entries[index].started) continue;
     ids[index] = *id;
   }
-  RemapServers(pending_snapshot_->learnt, ids);
-  balancer_.Recall(now_(), pending_snapshot_->learnt, snapshot_confidence_);
+  RemapServers(pending_snapshot_->module_state, ids);
+  balancer_.RestoreState(now_(), pending_snapshot_->module_state, snapshot_confidence_);
   LogLine(Level::kInfo) << "kept state taken up for " << ids.size() << " of " << entries.size()
                         << " servers";
   pending_snapshot_.reset();
@@ -632,7 +633,7 @@
   if (!directory_.Find(uid) && !any) return false;
   if (!directory_.Suspend(uid)) return true;
   if (const auto back = resume_timers_.find(uid); back != resume_timers_.end()) {
-    deadlines_.Drop(back->second);
+    deadlines_.Cancel(back->second);
     resume_timers_.erase(back);
   }
   LogLine(Level::kInfo) << "server " << uid << " suspended by hand";
@@ -646,7 +647,8 @@
   LogLine(Level::kInfo) << "server " << uid << " resumed by hand; it counts as started now";
   // Guards against requests that reach the server before the operator receives the confirmation: until then
   // the server stays out of service.
-  resume_timers_[uid] = deadlines_.Set(now_() + limits_.put_back, [this, uid] { ReturnToService(uid); });
+  resume_timers_[uid] =
+      deadlines_.Set(now_() + limits_.resume_delay, [this, uid] { ReturnToService(uid); });
   return true;
 }
 
@@ -661,23 +663,23 @@
   if (!update.named.empty()) Apply(update, ListKind::kChanges);
 }
 
-Engine::Census Engine::Count() const {
-  Census c;
+Engine::ServerCounts Engine::CountServers() const {
+  ServerCounts c;
   for (ServerId id = 0; id < directory_.size(); ++id) {
     const Server& server = directory_.At(id);
     if (server.uid.empty() || server.origin || server.availability == Availability::kRemoved) continue;
     ++c.known;
     c.skipped += suspended().contains(server.uid);
   }
-  c.skipped += balancer_.Avoided();
+  c.skipped += balancer_.AvoidedCount();
   return c;
 }
 
 // Guards against tables that only grow: if servers are replaced all day, the removed ones would stay in
 // memory and in every loop over servers. A server is forgotten, and its id becomes free, once it was
-// removed Limits::forget ago and no request, attempt or probe in the tables refers to it.
+// removed Limits::forget_removed_after ago and no request, attempt or probe in the tables refers to it.
 void Engine::ForgetRemovedServers() {
-  const Time before = now_() - limits_.forget;
+  const Time before = now_() - limits_.forget_removed_after;
   if (!directory_.AnyRemovedBefore(before)) return;
   std::vector<bool> referred(directory_.size());
   requests_.Each([&](RequestId, const Request& request) {
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -19,10 +19,10 @@
 #include "beechledge/balancer.h"
 #include "config/limits.h"
 #include "core/deadlines.h"
-#include "core/ends.h"
+#include "core/interfaces.h"
 #include "core/send_guard.h"
 #include "core/slots.h"
-#include "discovery/news_ledger.h"
+#include "discovery/availability_record.h"
 #include "discovery/server_directory.h"
 #include "discovery/server_list.h"
 #include "state/snapshot.h"
@@ -35,53 +35,53 @@
          std::function<Time()> now, Deadlines& deadlines, Counters& counters);
 
   // The front ends, back ends and discovery client must outlive the engine's last event.
-  void Attach(Back& cache_servers, Back& origin, Watch& watch);
+  void Attach(BackEnd& cache_servers, BackEnd& origin, DiscoverySource& watch);
 
-  // Called by front ends. Take returns 0 if the table of requests is full. The request's answer may be
-  // delivered before Take returns.
-  RequestId Take(Front& front, std::uint64_t ticket, NewRequest request);
+  // Called by front ends. AcceptRequest returns 0 if the table of requests is full. The request's answer
+  // may be delivered before AcceptRequest returns.
+  RequestId AcceptRequest(FrontEnd& front, std::uint64_t ticket, NewRequest request);
   void ClientGone(RequestId request);
   // Fails all open requests and aborts their attempts, because the process is about to exit. Returns the
   // number of requests failed.
   std::size_t FailAll();
   // Whether there is a request with this id whose answer is pending or that has an attempt in flight.
-  bool Holds(const std::string& id) const { return request_ids_.contains(id); }
+  bool HasRequest(const std::string& id) const { return request_ids_.contains(id); }
 
   // Called by back ends. An id that has already ended is ignored.
-  void AttemptEnded(AttemptId attempt, AttemptEnd end);
+  void AttemptEnded(AttemptId attempt, AttemptResult end);
   // The attempt's answer is a large value that is streamed in chunks. From now on the request is bound to
   // this attempt, and the module is notified of the first byte. Returns false if the value is not needed
   // (the request has ended, or another of its attempts is streaming a value): the back end then aborts the
   // attempt.
-  bool AttemptOpened(AttemptId attempt, std::size_t length);
+  bool StreamStarted(AttemptId attempt, std::size_t length);
   // A chunk of the value. An empty chunk means that the client is still reading earlier chunks, so that the
   // pause does not count as the server being unresponsive.
-  void AttemptPiece(AttemptId attempt, std::string_view bytes);
+  void StreamChunk(AttemptId attempt, std::string_view bytes);
   // Bytes buffered for the client of this attempt's request; 0 if there is no such request.
-  std::size_t Backlog(AttemptId attempt) const;
+  std::size_t BufferedBytes(AttemptId attempt) const;
   const Server* FindServer(ServerId id) const;
   // Whether the first byte of this attempt may be sent now on a connection to `endpoint`. The attempt was
   // approved when it was created, but a connection had to be established since. If it may not be sent, the
-  // back end ends it as never sent, by calling HeldBack.
-  SendVerdict JudgeFirstByte(AttemptId id, const std::string& endpoint) const;
-  void HeldBack(AttemptId id, SendVerdict why);
+  // back end ends it as never sent, by calling AttemptHeldBack.
+  SendVerdict EvaluateFirstByte(AttemptId id, const std::string& endpoint) const;
+  void AttemptHeldBack(AttemptId id, SendVerdict why);
   // The attempt's last byte was sent.
-  void AttemptLeft(AttemptId id);
+  void AttemptSent(AttemptId id);
 
   // Called by the discovery client. The directory orders the updates (discovery/server_directory.h).
   // `old`: the list was saved so long ago that servers in it may have been replaced.
-  void Remember(const ServerList& known, bool old = false);
-  void Told(const ServerList& list, const ListOrigin& origin);
+  void SetInitialList(const ServerList& known, bool old = false);
+  void ListReceived(const ServerList& list, const ListOrigin& origin);
   // Entries of an answer that is incomplete, or not complete yet.
-  void ToldInPart(const ServerList& part, const ListOrigin& origin);
+  void PartialListReceived(const ServerList& part, const ListOrigin& origin);
   // A call to discovery failed. It is only counted: discovery/list_refresher.h schedules the next call.
-  void ListRefused();
+  void ListCallFailed();
   const ServerDirectory& directory() const { return directory_; }
 
   // Called for operators. A suspended server is reported to the module as draining, whatever discovery
-  // says, until it is resumed. It is used again `Limits::put_back` after the resume, and counts as started
-  // at that moment because operators restart it in the meantime. Suspension is a flag, not a count: one
-  // resume undoes any number of suspends. Returns false if no server with that uid is known. With `any`
+  // says, until it is resumed. It is used again `Limits::resume_delay` after the resume, and counts as
+  // started at that moment because operators restart it in the meantime. Suspension is a flag, not a count:
+  // one resume undoes any number of suspends. Returns false if no server with that uid is known. With `any`
   // (used for state persisted by an earlier process) a uid that is not listed yet is accepted too.
   bool Suspend(const std::string& uid, bool any = false);
   bool Resume(const std::string& uid, bool any = false);
@@ -89,17 +89,17 @@
 
   // The number of cache servers in the list (in service or terminating), and of those that are suspended by
   // an operator or avoided by the module.
-  struct Census {
+  struct ServerCounts {
     std::size_t known = 0, skipped = 0;
   };
-  Census Count() const;
+  ServerCounts CountServers() const;
 
   // The state to preserve over a restart. Does not fill in the router's name and the time.
-  Snapshot Keep(std::size_t max_keys) const;
+  Snapshot ExportSnapshot(std::size_t max_keys) const;
   // Restores what an earlier process had learnt, for the servers that the list names with the same start
   // time. It is applied at once, or with the first list if there is none yet. `confidence`: how far it is
   // trusted, 0 to 1, which depends on its age.
-  void Recall(Snapshot snapshot, double confidence);
+  void RestoreSnapshot(Snapshot snapshot, double confidence);
 
   bool ready() const { return ready_; }
   // Whether this process has received a list from discovery.
@@ -108,7 +108,7 @@
 
  private:
   struct Request {
-    Front* front = nullptr;
+    FrontEnd* front = nullptr;
     std::uint64_t ticket = 0;
     int request_class = -1;
     std::shared_ptr<const RequestContent> content;
@@ -126,7 +126,7 @@
     ServerId server = 0;
     int number = 0;  // its index among the request's attempts, from 0
     Time sent{0};
-    Time sent_by{0};  // its last byte must be sent before this
+    Time send_deadline{0};  // its last byte must be sent before this
     Deadlines::Id deadline;
   };
 
@@ -142,7 +142,7 @@
   void Execute(const beechledge::FetchList&);
   void Execute(const beechledge::Probe& a);
   void Execute(const beechledge::CloseIdle& a);
-  void Execute(const beechledge::Tell&) {}  // routers exchange no messages
+  void Execute(const beechledge::SendToPeers&) {}  // routers exchange no messages
   void Execute(const beechledge::Log& a);
 
   SendVerdict EvaluateAttempt(const Request* request, ServerId server, int attempt) const;
@@ -151,11 +151,11 @@
   void MarkEnded(Request& request);
   void AbortAttempt(AttemptId id, beechledge::Result why);
   void RestartStallTimer(Attempt& attempt, AttemptId id);
-  void FinishAttempt(AttemptId id, AttemptEnd end);
+  void FinishAttempt(AttemptId id, AttemptResult end);
   void AnswerRequest(Request& request, const Answer& answer);
   void RemoveIfDone(RequestId id);
   void ForgetRemovedServers();
-  Back& BackEndOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : cache_servers_); }
+  BackEnd& BackEndOf(ServerId id) { return *(directory_.At(id).origin ? origin_ : cache_servers_); }
   // Acts on the changes that the directory reports and passes them to the module.
   void Apply(const DirectoryUpdate& update, beechledge::ListKind kind, bool old = false);
   beechledge::ServerEntry EntryFor(ServerId id) const;
@@ -174,9 +174,9 @@
   std::function<Time()> now_;
   Deadlines& deadlines_;
   Counters& counters_;
-  Back* cache_servers_ = nullptr;
-  Back* origin_ = nullptr;
-  Watch* watch_ = nullptr;
+  BackEnd* cache_servers_ = nullptr;
+  BackEnd* origin_ = nullptr;
+  DiscoverySource* watch_ = nullptr;
 
   Slots<Request> requests_;
   Slots<Attempt> attempts_;
--- a/src/core/ends.h
+++ b/src/core/interfaces.h
@@ -1,8 +1,8 @@
 // The interfaces between the engine, its front ends (which receive requests) and its back ends (which send
 // attempts to servers). They are independent of the protocols: another front end only has to fill in
 // RequestContent and to encode an Answer.
-#ifndef BRASSWOOD_CORE_ENDS_H_
-#define BRASSWOOD_CORE_ENDS_H_
+#ifndef BRASSWOOD_CORE_INTERFACES_H_
+#define BRASSWOOD_CORE_INTERFACES_H_
 
 #include <cstdint>
 #include <memory>
@@ -50,24 +50,25 @@
 // the engine. It must not call the engine from inside these functions, because the engine is modifying its
 // tables at that point.
 //
-// A large value is streamed: Open with its length, then Piece for each chunk, then Deliver. Deliver with
-// kValue completes it (its body is empty, because the value was sent in chunks). Any other answer after
-// Open means that the value cannot be completed: the front end must make that visible to its client, by
-// closing the connection once the chunks received so far are sent, and must not send a second answer.
-class Front {
+// A large value is streamed: StartStream with its length, then SendChunk for each chunk, then Deliver.
+// Deliver with kValue completes it (its body is empty, because the value was sent in chunks). Any other
+// answer after StartStream means that the value cannot be completed: the front end must make that visible
+// to its client, by closing the connection once the chunks received so far are sent, and must not send a
+// second answer.
+class FrontEnd {
  public:
-  virtual ~Front() = default;
+  virtual ~FrontEnd() = default;
   virtual void Deliver(std::uint64_t ticket, const Answer& answer) = 0;
-  virtual void Open(std::uint64_t ticket, std::size_t length) = 0;
-  virtual void Piece(std::uint64_t ticket, std::string_view bytes) = 0;
+  virtual void StartStream(std::uint64_t ticket, std::size_t length) = 0;
+  virtual void SendChunk(std::uint64_t ticket, std::string_view bytes) = 0;
   // Whether this ticket's client is still connected, as far as its connection shows.
-  virtual bool Present(std::uint64_t ticket) const = 0;
+  virtual bool IsConnected(std::uint64_t ticket) const = 0;
   // Bytes of answers that are buffered for this ticket's client; each chunk adds to them.
-  virtual std::size_t Backlog(std::uint64_t ticket) const = 0;
+  virtual std::size_t BufferedBytes(std::uint64_t ticket) const = 0;
 };
 
 // The result of an attempt: the reply in the decision module's terms, and its value or receipt.
-struct AttemptEnd {
+struct AttemptResult {
   beechledge::Result result = beechledge::Result::kError;
   beechledge::Note note = beechledge::Note::kNone;
   std::optional<beechledge::LoadReport> report;
@@ -77,14 +78,14 @@
 
 // A back end: sends attempts and probes to servers and reports the result of each to the engine exactly
 // once, unless it was abandoned.
-class Back {
+class BackEnd {
  public:
-  virtual ~Back() = default;
-  // `until`: an answer after this is useless. `sent_by`: if its last byte cannot be sent before this, the
-  // attempt ends as never sent. Before the first byte the back end asks Engine::JudgeFirstByte, because the
-  // state may have changed by then.
+  virtual ~BackEnd() = default;
+  // `until`: an answer after this is useless. `send_deadline`: if its last byte cannot be sent before this,
+  // the attempt ends as never sent. Before the first byte the back end asks Engine::EvaluateFirstByte,
+  // because the state may have changed by then.
   virtual void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
-                     Time until, Time sent_by) = 0;
+                     Time until, Time send_deadline) = 0;
   virtual void Probe(AttemptId probe, ServerId to, bool load) = 0;
   // Closes the attempt's connection at once and returns whether the whole attempt had been sent. Nothing
   // more is reported for it.
@@ -95,13 +96,13 @@
 };
 
 // The discovery client, as the engine uses it.
-class Watch {
+class DiscoverySource {
  public:
-  virtual ~Watch() = default;
-  virtual void Follow(bool on) = 0;
-  virtual void FetchAll() = 0;
+  virtual ~DiscoverySource() = default;
+  virtual void SetWatching(bool on) = 0;
+  virtual void RequestWholeList() = 0;
 };
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_CORE_ENDS_H_
+#endif  // BRASSWOOD_CORE_INTERFACES_H_
--- a/src/core/shutdown.h
+++ b/src/core/shutdown.h
@@ -1,6 +1,7 @@
 // The graceful shutdown of a router as a state machine. Does no I/O.
 //
-//   serving --Begin--> accepting --Limits::linger--> refusing --Limits::stop_within--> time up
+//   serving --Begin--> accepting --Limits::shutdown_accept_time--> refusing --Limits::shutdown_timeout-->
+//   time up
 //
 // While accepting, the listener stays open and requests are served as before, because the load balancer in
 // front does not know about the shutdown yet. From last_new_work() on, every request that is read is
@@ -27,8 +28,8 @@
   void Begin(Time at) { begun_ = at; }
   bool begun() const { return begun_.has_value(); }
   // Call these two only after Begin.
-  Time last_new_work() const { return *begun_ + limits_.linger; }
-  Time time_up() const { return *begun_ + limits_.stop_within; }
+  Time last_new_work() const { return *begun_ + limits_.shutdown_accept_time; }
+  Time time_up() const { return *begun_ + limits_.shutdown_timeout; }
 
   Phase At(Time now) const {
     if (!begun_) return Phase::kServing;
@@ -36,7 +37,7 @@
     return now < time_up() ? Phase::kRefusing : Phase::kTimeUp;
   }
   // Whether a request that is read now may be forwarded.
-  bool TakesWork(Time now) const { return At(now) < Phase::kRefusing; }
+  bool AcceptsWork(Time now) const { return At(now) < Phase::kRefusing; }
 
  private:
   const Limits& limits_;
--- a/src/discovery/list_refresher.h
+++ b/src/discovery/list_refresher.h
@@ -38,7 +38,7 @@
 
 #include "base/clock.h"
 #include "discovery/server_list.h"
-#include "recovery/list_calls.h"
+#include "recovery/list_call_backoff.h"
 
 namespace brasswood {
 
@@ -50,7 +50,7 @@
     "unheard", "following", "refreshing", "backing off"};
 
 // Why a call ended, or why the list's state changed.
-enum class CallEnd : std::size_t {
+enum class CallEndReason : std::size_t {
   kAnswered,      // with a list that was accepted
   kRefused,       // 503, or another answer that is not a list
   kBroken,        // its connection was closed before the answer was complete
@@ -63,25 +63,25 @@
   kSilent,        // a watch: no byte arrived within its wait and the grace after it
   kStalled,       // an answer that started and did not continue
   kNoAnswer,      // no byte arrived within the longest time that a call may wait
-  kMadeWay,       // another call was answered or replaced it
+  kReplaced,      // another call was answered or replaced it
   kMoved,         // a new configuration names another address
   kCount,
 };
-inline constexpr std::array<const char*, static_cast<std::size_t>(CallEnd::kCount)> kCallEndNames = {
-    "answered",
-    "refused",
-    "connection lost",
-    "a bad answer",
-    "an older list",
-    "changes without their base",
-    "connection lost before it was up",
-    "no connection in time",
-    "cannot connect",
-    "the watch fell silent",
-    "an answer that stops half way",
-    "no answer in time",
-    "made way",
-    "moved"};
+inline constexpr std::array<const char*, static_cast<std::size_t>(CallEndReason::kCount)>
+    kCallEndReasonNames = {"answered",
+                           "refused",
+                           "connection lost",
+                           "a bad answer",
+                           "an older list",
+                           "changes without their base",
+                           "connection lost before it was up",
+                           "no connection in time",
+                           "cannot connect",
+                           "the watch fell silent",
+                           "an answer that stops half way",
+                           "no answer in time",
+                           "made way",
+                           "moved"};
 
 // ---- Actions ----
 
@@ -94,24 +94,24 @@
 };
 struct CloseCall {
   CallId id = 0;
-  CallEnd why = CallEnd::kMadeWay;
+  CallEndReason reason = CallEndReason::kReplaced;
 };
 struct StateChanged {
   ListState from = ListState::kNoList, to = ListState::kNoList;
-  CallEnd why = CallEnd::kAnswered;
+  CallEndReason reason = CallEndReason::kAnswered;
 };
 using ListAction = std::variant<OpenCall, CloseCall, StateChanged>;
 using ListActions = std::vector<ListAction>;
 
 // Limits on the calls, taken from the deployment's settings and from Limits.
 struct RefreshLimits {
-  Duration watch{0};        // how long discovery may hold a watch
-  Duration watch_grace{0};  // extra time after that before the watch counts as silent
-  Duration connect{0};      // time limit for establishing a connection
-  Duration answer{0};       // an answer that started and then stopped is abandoned after this
-  Duration drain_grace{0};  // a drain has to be received within this after discovery wrote it
-  Duration apart{0};        // this router's offset in the time over which a fleet reopens broken watches
-  bool agent = false;       // lists are pushed to an agent that serves only this router
+  Duration watch{0};          // how long discovery may hold a watch
+  Duration watch_grace{0};    // extra time after that before the watch counts as silent
+  Duration connect{0};        // time limit for establishing a connection
+  Duration answer{0};         // an answer that started and then stopped is abandoned after this
+  Duration drain_grace{0};    // a drain has to be received within this after discovery wrote it
+  Duration reopen_offset{0};  // this router's offset in the time over which a fleet reopens broken watches
+  bool agent = false;         // lists are pushed to an agent that serves only this router
 };
 
 class ListRefresher {
@@ -121,7 +121,7 @@
   static constexpr std::size_t kMaxIntermediateCalls = 3;
 
   // `held`: the version of the list held at the start, if any. `pacing`: computes the waits after refusals.
-  ListRefresher(const RefreshLimits& limits, const beechledge::ListCalls& pacing,
+  ListRefresher(const RefreshLimits& limits, const beechledge::ListCallBackoff& pacing,
                 std::optional<std::int64_t> held, std::uint64_t seed);
 
   // ---- Events ----
@@ -129,9 +129,9 @@
   // Starts following the list. Does nothing if it was started before.
   void Follow(Time now, ListActions& out);
   // Makes the first call one that discovery answers at once, whether or not anything has changed.
-  void AskFirst() { ask_first_ = true; }
+  void MakeFirstCallImmediate() { ask_first_ = true; }
   // Requests the whole list at once.
-  void AskWhole(Time now, ListActions& out);
+  void RequestWholeList(Time now, ListActions& out);
   // A new configuration names this source. It may be the one that is already followed.
   void Move(Time now, SourceId to, ListActions& out);
   void Connected(Time now, CallId id);
@@ -141,7 +141,7 @@
   // is known now. Returns false if the call had already ended.
   bool Answered(Time now, CallId id, std::int64_t version, ListActions& out);
   // The call ended without a list, and its connection is closed.
-  void Failed(Time now, CallId id, CallEnd why, ListActions& out);
+  void Failed(Time now, CallId id, CallEndReason why, ListActions& out);
   // Handles what is due at `now` (see Next). May be called early.
   void Wake(Time now, ListActions& out);
 
@@ -151,13 +151,13 @@
   Time Next() const;
   // Whether the call's answer was probably written just before it arrived. Only then does a drain in it
   // still have its whole grace period left.
-  bool Undisturbed(CallId id) const;
+  bool AnswerIsFresh(CallId id) const;
   ListState state() const { return state_; }
   bool moving() const { return target_ != current_; }
   SourceId current() const { return current_; }
   SourceId target() const { return target_; }
   // Whether any call to this source is open.
-  bool Calls(SourceId source) const;
+  bool HasCallTo(SourceId source) const;
   // The time since the list was last confirmed. None before the first list that this process receives.
   std::optional<Duration> Age(Time now) const;
 
@@ -181,18 +181,18 @@
   bool AnyCallToTarget() const;
   Time DeadlineOf(const Call& call) const;
   void Open(Time now, SourceId source, bool watch, CallId reuse, ListActions& out);
-  void Close(CallId id, CallEnd why, ListActions& out);
+  void Close(CallId id, CallEndReason why, ListActions& out);
   template <class Predicate>
-  void CloseIf(Predicate closes, CallEnd why, ListActions& out);
-  void CloseAllButTarget(CallEnd why, ListActions& out);
+  void CloseIf(Predicate closes, CallEndReason why, ListActions& out);
+  void CloseAllButTarget(CallEndReason why, ListActions& out);
   void LimitIntermediateCalls(ListActions& out);
   void MakeRoomForCall(ListActions& out);
   void RequireRefresh(Time now, Duration wait);
-  void AfterFailure(Time now, CallEnd why);
+  void AfterFailure(Time now, CallEndReason why);
   void BackOff(Time now);
-  CallEnd CheckLimits(Time now, ListActions& out);
+  CallEndReason CheckLimits(Time now, ListActions& out);
   void CheckAnswering(Time now, CallId id);
-  void Step(Time now, CallEnd why, ListActions& out);
+  void Step(Time now, CallEndReason why, ListActions& out);
   Duration NextGap(Time now);
   Duration WaitAfterMove(Time now) const;
   Duration ConnectLimit() const;
@@ -202,7 +202,7 @@
   double RandomUnit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   const RefreshLimits limits_;
-  beechledge::ListCalls pacing_;
+  beechledge::ListCallBackoff pacing_;
   std::mt19937_64 random_;
   std::optional<std::int64_t> version_;  // of the list held, in the current source's numbering
   SourceId current_ = 0, target_ = 0;
--- a/src/discovery/server_directory.cpp
+++ b/src/discovery/server_directory.cpp
@@ -12,25 +12,25 @@
 DirectoryUpdate ServerDirectory::SetInitialList(const ServerList& list, Time now) {
   DirectoryUpdate update;
   ListOrigin origin;
-  origin.told = now;
-  ApplyAll(list, {list.rev, false}, origin, update);
-  if (list.rev >= 0) held_ = list.rev;
+  origin.notified_at = now;
+  ApplyAll(list, {list.version, false}, origin, update);
+  if (list.version >= 0) held_ = list.version;
   return update;
 }
 
-ListVerdict ServerDirectory::Judge(const ServerList& list, const ListOrigin& origin) const {
-  if (origin.begun < restarted_) return ListVerdict::kOlder;
-  if (held_ && list.rev < *held_) {
-    if (origin.begun <= held_confirmed_) return ListVerdict::kOlder;
-    return RestartConfirmed(list, origin) ? ListVerdict::kRestartTaken : ListVerdict::kDoubted;
+ListVerdict ServerDirectory::Classify(const ServerList& list, const ListOrigin& origin) const {
+  if (origin.requested_at < restarted_) return ListVerdict::kOlder;
+  if (held_ && list.version < *held_) {
+    if (origin.requested_at <= held_confirmed_) return ListVerdict::kOlder;
+    return RestartConfirmed(list, origin) ? ListVerdict::kRestartApplied : ListVerdict::kDoubted;
   }
-  const bool has_base = list.all || (origin.since && held_ && *origin.since <= *held_);
-  return has_base ? ListVerdict::kTaken : ListVerdict::kNoBase;
+  const bool has_base = list.is_whole || (origin.since && held_ && *origin.since <= *held_);
+  return has_base ? ListVerdict::kApplied : ListVerdict::kNoBase;
 }
 
 DirectoryUpdate ServerDirectory::Merge(const ServerList& list, const ListOrigin& origin) {
   DirectoryUpdate update;
-  update.verdict = Judge(list, origin);
+  update.verdict = Classify(list, origin);
   switch (update.verdict) {
     case ListVerdict::kOlder:
       return update;
@@ -38,10 +38,10 @@
       ApplyDoubted(list, origin, update);
       return update;
     case ListVerdict::kNoBase:
-      ApplyDrains(list, {list.rev, true}, origin, update);
+      ApplyDrains(list, {list.version, true}, origin, update);
       return update;
-    case ListVerdict::kRestartTaken:
-      restarted_ = origin.arrived;
+    case ListVerdict::kRestartApplied:
+      restarted_ = origin.received_at;
       for (Record& record : records_) {
         record.stamp = {};
         record.min_started = std::max(record.min_started, record.reported.started);
@@ -50,22 +50,22 @@
     default:
       break;
   }
-  held_ = list.rev;
-  held_confirmed_ = std::max(held_confirmed_, origin.arrived);
-  ApplyAll(list, {list.rev, true}, origin, update);
-  EndDoubt(origin.told, update);
+  held_ = list.version;
+  held_confirmed_ = std::max(held_confirmed_, origin.received_at);
+  ApplyAll(list, {list.version, true}, origin, update);
+  EndDoubt(origin.notified_at, update);
   return update;
 }
 
 DirectoryUpdate ServerDirectory::MergePart(const ServerList& part, const ListOrigin& origin) {
   DirectoryUpdate update;
   // Guards against a late copy of an earlier answer: its drains may have ended since.
-  if (origin.begun < restarted_ || (held_ && part.rev <= *held_)) {
+  if (origin.requested_at < restarted_ || (held_ && part.version <= *held_)) {
     update.verdict = ListVerdict::kNotNewer;
     return update;
   }
-  update.verdict = ListVerdict::kPartTaken;
-  ApplyDrains(part, {part.rev, true}, origin, update);
+  update.verdict = ListVerdict::kPartApplied;
+  ApplyDrains(part, {part.version, true}, origin, update);
   return update;
 }
 
@@ -78,16 +78,16 @@
     if (id >= named.size()) named.resize(id + 1);
     named[id] = true;
     if (Replaces(records_[id], entry, stamp)) StoreEntry(id, entry, stamp, origin.source);
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
     update.named.push_back(id);
   }
-  if (!list.all) return;
+  if (!list.is_whole) return;
   for (ServerId id = 0; id < records_.size(); ++id) {
     Record& record = records_[id];
     if (named[id] || record.server.uid.empty() || record.stamp.version > stamp.version) continue;
     record.reported.availability = Availability::kRemoved;
     record.stamp = stamp;
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
   }
 }
 
@@ -100,7 +100,7 @@
     if (known == by_uid_.end() || entry.availability == Availability::kUp) continue;
     if (!Replaces(records_[known->second], entry, stamp)) continue;
     StoreEntry(known->second, entry, stamp, origin.source);
-    Refresh(known->second, origin.told, update);
+    Refresh(known->second, origin.notified_at, update);
     update.named.push_back(known->second);
   }
 }
@@ -206,17 +206,17 @@
   const bool serves = std::any_of(list.entries.begin(), list.entries.end(), [](const ServerEntry& entry) {
     return entry.availability == Availability::kUp;
   });
-  return list.all && serves && doubt_.lists + 1 >= kRestartLists &&
-         origin.begun - doubt_.first_begun >= kRestartEvidence;
+  return list.is_whole && serves && doubt_.lists + 1 >= kRestartLists &&
+         origin.requested_at - doubt_.first_begun >= kRestartEvidence;
 }
 
 // Guards against missing a drain that a restarted discovery sends with a version below the one held.
 void ServerDirectory::ApplyDoubted(const ServerList& list, const ListOrigin& origin,
                                    DirectoryUpdate& update) {
-  if (!list.all) return;  // changes from an unknown state
-  if (doubt_.lists++ == 0) doubt_.first_begun = origin.begun;
-  const bool newest = list.rev >= doubt_.version;
-  doubt_.version = std::max(doubt_.version, list.rev);
+  if (!list.is_whole) return;  // changes from an unknown state
+  if (doubt_.lists++ == 0) doubt_.first_begun = origin.requested_at;
+  const bool newest = list.version >= doubt_.version;
+  doubt_.version = std::max(doubt_.version, list.version);
   std::set<std::string> in_service, named;
   for (const ServerEntry& entry : list.entries) {
     named.insert(entry.uid);
@@ -239,7 +239,7 @@
       in_service_left -= serves;
     }
     if (newest && in_service.contains(uid)) record.doubted = false;
-    Refresh(id, origin.told, update);
+    Refresh(id, origin.notified_at, update);
     update.named.push_back(id);
   }
   doubt_.named.merge(named);
--- a/src/sight/origin_pace.h
+++ b/src/estimates/origin_limiter.h
@@ -2,13 +2,13 @@
 // how long they take. A fetch that fails or takes far longer than an unqueued one indicates overload; the
 // limit adapts by additive increase and multiplicative decrease (as in Jacobson and Karels). Performs no
 // I/O.
-#ifndef BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
-#define BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
+#ifndef BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
+#define BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
 
 #include <algorithm>
 
-#include "beechledge/kept.h"
-#include "sight/smoothed.h"
+#include "beechledge/learned_state.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -62,16 +62,16 @@
   }
 
   // What was learned, to be persisted over a restart.
-  Kept::Origin Export() const { return {limit_, base_seconds_, usual_seconds_}; }
+  LearnedState::Origin Export() const { return {limit_, base_seconds_, usual_seconds_}; }
   // Restores exported values; the lower the confidence, the less they replace the initial ones. Values that
   // cannot have been exported here are ignored.
-  void Restore(const Kept::Origin& kept, double confidence) {
-    if (!(kept.limit >= kMinLimit && kept.limit < 1e6 && kept.base > 0 && kept.base < 60 &&
-          kept.usual > 0 && kept.usual < 60))
+  void Restore(const LearnedState::Origin& kept, double confidence) {
+    if (!(kept.max_fetches >= kMinLimit && kept.max_fetches < 1e6 && kept.base_seconds > 0 &&
+          kept.base_seconds < 60 && kept.usual_seconds > 0 && kept.usual_seconds < 60))
       return;
-    limit_ += confidence * (kept.limit - limit_);
-    base_seconds_ += confidence * (kept.base - base_seconds_);
-    usual_seconds_ += confidence * (kept.usual - usual_seconds_);
+    limit_ += confidence * (kept.max_fetches - limit_);
+    base_seconds_ += confidence * (kept.base_seconds - base_seconds_);
+    usual_seconds_ += confidence * (kept.usual_seconds - usual_seconds_);
   }
 
  private:
@@ -93,4 +93,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_ORIGIN_PACE_H_
+#endif  // BEECHLEDGE_ESTIMATES_ORIGIN_LIMITER_H_
--- a/src/sight/paces.h
+++ b/src/estimates/server_latencies.h
@@ -11,8 +11,8 @@
 //
 // Performs no I/O; the caller passes the time. Bounded: one record for each server and at most kMaxGroups
 // groups; further kinds and zones share the last group.
-#ifndef BEECHLEDGE_SIGHT_PACES_H_
-#define BEECHLEDGE_SIGHT_PACES_H_
+#ifndef BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
+#define BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
 
 #include <cstdint>
 #include <map>
@@ -20,8 +20,8 @@
 #include <vector>
 
 #include "beechledge/balancer.h"
-#include "beechledge/kept.h"
-#include "sight/smoothed.h"
+#include "beechledge/learned_state.h"
+#include "estimates/smoothed.h"
 
 namespace beechledge {
 
@@ -56,8 +56,8 @@
 
   // Exports what was learned about one server, and restores it in addition to what is known: its samples
   // are scaled by `confidence`.
-  Kept::Server Export(ServerId id, Time now) const;
-  void Restore(const Kept::Server& kept, Time now, double confidence);
+  LearnedState::Server Export(ServerId id, Time now) const;
+  void Restore(const LearnedState::Server& kept, Time now, double confidence);
 
   // The server's weight, about 1 on average, between kMinWeight and kMaxWeight. It changes in small steps,
   // one per kStepInterval, and only for a difference that is worth moving keys for.
@@ -105,4 +105,4 @@
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_SIGHT_PACES_H_
+#endif  // BEECHLEDGE_ESTIMATES_SERVER_LATENCIES_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,20 +10,20 @@
 #include <optional>
 #include <thread>
 
-#include "admin/operator.h"
-#include "admin/state_file.h"
+#include "admin/operator_state_file.h"
+#include "admin/router_operations.h"
 #include "base/counters.h"
 #include "base/log.h"
 #include "base/stable_hash.h"
 #include "config/config.h"
 #include "core/engine.h"
+#include "net/admin_server.h"
 #include "net/attempt_pool.h"
-#include "net/client_front.h"
-#include "net/discovery_watch.h"
-#include "net/door.h"
+#include "net/client_front_end.h"
+#include "net/discovery_client.h"
 #include "net/loop.h"
 #include "net/startup.h"
-#include "state/keeper.h"
+#include "state/snapshot_keeper.h"
 
 namespace {
 
@@ -54,59 +54,60 @@
   // this process's share while two processes run during a replacement.
   const Limits full_limits = config.limits;
   Limits limits = full_limits;
-  const Names& names = config.settings.names;
+  const SettingNames& names = config.settings.names;
   Engine engine(
       config.settings.module, config.seed, limits, [&loop] { return loop.Now(); }, loop.deadlines(),
       counters);
-  ConnBudget budget;
+  ConnectionBudget budget;
   CacheServerPool cache_servers(loop, engine, limits, counters, budget);
   OriginClient origin(loop, engine, limits, counters, budget);
-  DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.rev,
-                       beechledge::Unit(beechledge::StableHash(config.name)));
+  DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version,
+                        beechledge::ToUnitInterval(beechledge::StableHash(config.name)));
   engine.Attach(cache_servers, origin, watch);
-  ClientFront* front_pointer = nullptr;  // the front is created last, as it starts listening at once
+  ClientFrontEnd* front_pointer = nullptr;  // the front is created last, as it starts listening at once
   ClientFrontHooks hooks{[&front_pointer] { return front_pointer != nullptr && front_pointer->Ready(); },
                          [&front_pointer](bool on) {
-                           if (front_pointer != nullptr) front_pointer->SendAway(on);
+                           if (front_pointer != nullptr) front_pointer->SetDraining(on);
                          },
                          [&](std::size_t processes) {
                            limits = LimitsPerProcess(full_limits, processes);
-                           cache_servers.Trim();
-                           if (front_pointer != nullptr) front_pointer->Reshare();
+                           cache_servers.CloseExcessIdle();
+                           if (front_pointer != nullptr) front_pointer->ApplyLimits();
                          }};
   // Operator state is stored only if there is an admin interface to change it. Older deployments have
   // neither.
   const bool has_admin = !config.admin.empty();
   RouterOperations operations(
       engine, counters, names, hooks, limits, loop.deadlines(), [&loop] { return loop.Now(); },
-      has_admin ? std::make_unique<StateFile>(StateDirectory(), config.name) : nullptr,
+      has_admin ? std::make_unique<OperatorStateFile>(StateDirectory(), config.name) : nullptr,
       has_admin ? std::make_unique<HeartbeatFiles>(StateDirectory(), config.name, limits.heartbeat_timeout)
                 : nullptr);
   // Restores the snapshot of an earlier process, if the installation has a disk for it. Suspensions are
   // applied before any server list, so that no attempt goes to a suspended server.
-  std::unique_ptr<Keeper> keeper;
+  std::unique_ptr<SnapshotKeeper> keeper;
   std::optional<Snapshot> snapshot;
   if (const auto settings = LoadStateSettings()) {
-    keeper = std::make_unique<Keeper>(*settings, config.name, engine, loop.deadlines(),
-                                      [&loop] { return loop.Now(); });
-    snapshot = keeper->Read();
-    watch.AskFirst();
+    keeper = std::make_unique<SnapshotKeeper>(*settings, config.name, engine, loop.deadlines(),
+                                              [&loop] { return loop.Now(); });
+    snapshot = keeper->Load();
+    watch.MakeFirstCallImmediate();
   }
   if (snapshot) {
     for (const std::string& uid : snapshot->suspended) engine.Suspend(uid, true);
   }
   operations.Restore();
-  if (snapshot && !snapshot->list.entries.empty() && snapshot->list.rev > config.known.rev) {
-    engine.Remember(snapshot->list, loop.Now() - snapshot->taken > keeper->settings().old);
+  if (snapshot && !snapshot->list.entries.empty() && snapshot->list.version > config.known.version) {
+    engine.SetInitialList(snapshot->list,
+                          loop.Now() - snapshot->taken_at > keeper->settings().old_list_age);
   } else {
-    engine.Remember(config.known);
+    engine.SetInitialList(config.known);
   }
   if (snapshot) {
-    const double confidence =
-        Faith(loop.Now() - snapshot->taken, keeper->settings().half, keeper->settings().most);
-    if (confidence > 0) engine.Recall(std::move(*snapshot), confidence);
+    const double confidence = SnapshotConfidence(loop.Now() - snapshot->taken_at,
+                                                 keeper->settings().half_life, keeper->settings().max_age);
+    if (confidence > 0) engine.RestoreSnapshot(std::move(*snapshot), confidence);
   }
-  if (keeper) keeper->Begin();
+  if (keeper) keeper->Start();
   // SIGHUP applies a new configuration without a restart: open requests and the listener are not affected.
   // Only the address of discovery is applied; the router's own address, its limits and settings change at
   // its next start.
@@ -114,16 +115,16 @@
     try {
       const Config reloaded = ReloadConfig();
       LogLine(Level::kInfo) << "configuration reloaded; discovery at " << reloaded.discovery;
-      watch.MoveTo(reloaded.discovery);
+      watch.SwitchTo(reloaded.discovery);
     } catch (const std::exception& e) {
       LogLine(Level::kError) << "configuration kept as it was: " << e.what();
     }
   });
-  ClientFront front(loop, engine, limits, names, counters, config.listen);
+  ClientFrontEnd front(loop, engine, limits, names, counters, config.listen);
   front_pointer = &front;
-  std::unique_ptr<Door> admin_server;
+  std::unique_ptr<AdminServer> admin_server;
   if (!config.admin.empty()) {
-    admin_server = std::make_unique<Door>(loop, limits, config.admin, operations);
+    admin_server = std::make_unique<AdminServer>(loop, limits, config.admin, operations);
     operations.StartPolling();
     LogLine(Level::kInfo) << "operators' door on " << config.admin.substr(0, config.admin.rfind(':') + 1)
                           << admin_server->port();
@@ -135,7 +136,7 @@
   });
   const auto stop = [&] {
     LogLine(Level::kInfo) << config.name << " stops; open requests: " << engine.open_requests();
-    if (keeper) keeper->Take();
+    if (keeper) keeper->Save();
     front.Stop([&loop] { loop.Stop(); });
   };
   loop.OnSignal(SIGTERM, stop);
@@ -145,25 +146,25 @@
   signals.Unblock();  // all handlers are installed
   loop.Run();
   signals.Block();
-  counters.invariants.Expect(engine.open_requests() == 0, Invariant::kAnsweredBeforeEnd, "exit");
+  counters.invariants.Expect(engine.open_requests() == 0, Invariant::kAnsweredBeforeClose, "exit");
   LogLine(Level::kInfo) << counters;
   LogLine(Level::kInfo) << watch;
 }
 
 // Guards against a start that fails because the system is short of something for a moment, such as
-// descriptors or memory. Such a start is retried for kStartPatience.
+// descriptors or memory. Such a start is retried for kStartRetryLimit.
 void RunWithStartRetries(const brasswood::Config& config, SignalBlock& signals) {
   using namespace brasswood;
-  const auto deadline = std::chrono::steady_clock::now() + kStartPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kStartRetryLimit;
   for (;;) {
     try {
-      ProbeDescriptors();
+      CheckDescriptorsAvailable();
       return Run(config, signals);
     } catch (const StartError& e) {
-      if (!e.passing() || std::chrono::steady_clock::now() >= deadline) throw;
+      if (!e.transient() || std::chrono::steady_clock::now() >= deadline) throw;
       LogLine(Level::kWarn) << "cannot start yet, retrying: " << e.what();
     }
-    std::this_thread::sleep_for(kStartPause);
+    std::this_thread::sleep_for(kStartRetryPause);
   }
 }
 
--- a/src/net/door.h
+++ b/src/net/admin_server.h
@@ -3,8 +3,8 @@
 // connection has one deadline, counted from its accept, after which it is answered 400 and closed, and the
 // number of connections is bounded, with the oldest closed for a new one. Nothing here waits for a server
 // or a client's request, so an answer is sent within the deadline whatever the data path does.
-#ifndef BRASSWOOD_NET_DOOR_H_
-#define BRASSWOOD_NET_DOOR_H_
+#ifndef BRASSWOOD_NET_ADMIN_SERVER_H_
+#define BRASSWOOD_NET_ADMIN_SERVER_H_
 
 #include <event2/listener.h>
 
@@ -17,22 +17,22 @@
 #include "config/limits.h"
 #include "core/slots.h"
 #include "net/loop.h"
-#include "protocol/door.h"
+#include "protocol/admin_http.h"
 
 namespace brasswood {
 
-class Door {
+class AdminServer {
  public:
   // Starts to listen on `address`; throws if that fails. `router` must outlive this object.
-  Door(Loop& loop, const Limits& limits, const std::string& address, Operations& router);
-  ~Door();
+  AdminServer(Loop& loop, const Limits& limits, const std::string& address, Operations& router);
+  ~AdminServer();
 
   std::uint16_t port() const;
   std::size_t open() const { return callers_.size(); }
 
  private:
   struct Caller {
-    Door* door = nullptr;
+    AdminServer* door = nullptr;
     std::uint64_t id = 0;
     BufferPtr buffer;
     bool answered = false;  // its answer is decided on; further input is read and discarded
@@ -58,4 +58,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_DOOR_H_
+#endif  // BRASSWOOD_NET_ADMIN_SERVER_H_
--- a/src/net/attempt_pool.cpp
+++ b/src/net/attempt_pool.cpp
@@ -17,25 +17,25 @@
 using beechledge::Result;
 
 AttemptPool::AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters,
-                         ConnBudget& budget)
+                         ConnectionBudget& budget)
     : loop_(loop), engine_(engine), limits_(limits), counters_(counters), budget_(budget) {
   budget_.pools.push_back(this);
 }
 
 AttemptPool::~AttemptPool() {
   for (Connection& connection : connections_) {
-    loop_.deadlines().Drop(connection.deadline);
-    loop_.deadlines().Drop(connection.send_deadline);
+    loop_.deadlines().Cancel(connection.deadline);
+    loop_.deadlines().Cancel(connection.send_deadline);
   }
   std::erase(budget_.pools, this);
 }
 
 void AttemptPool::Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request,
-                        Time until, Time sent_by) {
-  StartOperation(to, {attempt, std::move(request), false, until, sent_by});
+                        Time until, Time send_deadline) {
+  StartOperation(to, {attempt, std::move(request), false, until, send_deadline});
 }
 void AttemptPool::Probe(AttemptId probe, ServerId to, bool load) {
-  StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe, {}});
+  StartOperation(to, {probe, nullptr, load, loop_.Now() + limits_.probe_timeout, {}});
 }
 
 void AttemptPool::StartOperation(ServerId to, Operation operation) {
@@ -51,8 +51,8 @@
   }
   if (server == nullptr || !EnsureCapacity()) {
     // No connection may be opened: a shortage of this router, not a fault of the server. Nothing was sent.
-    AttemptEnd end;
-    end.result = Result::kMoot;
+    AttemptResult end;
+    end.result = Result::kObsolete;
     return engine_.AttemptEnded(attempt, std::move(end));
   }
   connections_.emplace_back();
@@ -79,7 +79,7 @@
   if (at == idle_.end()) return nullptr;
   std::vector<ConnectionIt>& idle = at->second;
   while (!idle.empty()) {
-    const Time settled = loop_.Now() - limits_.settle;
+    const Time settled = loop_.Now() - limits_.reuse_after;
     auto pick =
         std::find_if(idle.rbegin(), idle.rend(), [&](ConnectionIt p) { return p->idle_since <= settled; });
     Connection& connection = pick == idle.rend() ? *idle.front() : **pick;
@@ -88,7 +88,7 @@
       continue;
     }
     std::erase(idle, connection.self);
-    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Cancel(connection.deadline);
     connection.idle = false;
     return &connection;
   }
@@ -116,10 +116,11 @@
       },
       &connection);
   bufferevent_enable(connection.buffer.get(), EV_READ | EV_WRITE);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.connect, [this, it = connection.self] {
-    it->deadline = {};
-    CloseWithResult(*it, Result::kConnectFailed);
-  });
+  connection.deadline =
+      loop_.deadlines().Set(loop_.Now() + limits_.connect_timeout, [this, it = connection.self] {
+        it->deadline = {};
+        CloseWithResult(*it, Result::kConnectFailed);
+      });
   // An immediate failure (no descriptor, no route) may already have been handled by OnEvent, which destroys
   // the connection. `connection` must not be used then; whether the attempt is still in `busy_` shows what
   // happened.
@@ -137,22 +138,22 @@
   const Server* server = engine_.FindServer(connection.server);
   const SendVerdict verdict =
       connection.operation.request
-          ? engine_.JudgeFirstByte(connection.operation.attempt, connection.endpoint)
+          ? engine_.EvaluateFirstByte(connection.operation.attempt, connection.endpoint)
           : SendVerdict::kAllowed;
   if (verdict != SendVerdict::kAllowed) {
     // The connection itself is usable.
     const AttemptId attempt = connection.operation.attempt;
     MakeIdle(connection);
-    return engine_.HeldBack(attempt, verdict);
+    return engine_.AttemptHeldBack(attempt, verdict);
   }
   const std::string text = Format(connection.operation, *server, connection.operation.until - loop_.Now());
   connection.written = true;
   connection.sent_reported = false;
   // Guards against a repeat whose last byte is held back by the peer's full receive window until after
-  // `sent_by`.
-  if (connection.operation.request && connection.operation.sent_by < connection.operation.until) {
+  // `send_deadline`.
+  if (connection.operation.request && connection.operation.send_deadline < connection.operation.until) {
     connection.send_deadline =
-        loop_.deadlines().Set(connection.operation.sent_by, [this, it = connection.self] {
+        loop_.deadlines().Set(connection.operation.send_deadline, [this, it = connection.self] {
           it->send_deadline = {};
           if (!FullySent(*it)) CloseWithResult(*it, Result::kConnectFailed);
         });
@@ -163,17 +164,17 @@
 // All output was handed to the kernel: the attempt counts as sent from here on.
 void AttemptPool::OnWritten(Connection& connection) {
   loop_.RecordPollReturn();
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   if (!connection.written || connection.sent_reported || !connection.operation.request) return;
   connection.sent_reported = true;
-  engine_.AttemptLeft(connection.operation.attempt);
+  engine_.AttemptSent(connection.operation.attempt);
 }
 
 void AttemptPool::OnEvent(Connection& connection, short what) {
   loop_.RecordPollReturn();
   if (what & BEV_EVENT_CONNECTED) {
     connection.connected = true;
-    loop_.deadlines().Drop(connection.deadline);
+    loop_.deadlines().Cancel(connection.deadline);
     return WriteOperation(connection);
   }
   if (connection.written && HandleLastAnswer(connection, what)) return;
@@ -188,7 +189,7 @@
   if ((what & BEV_EVENT_WRITING) != 0) {
     evbuffer* in = bufferevent_get_input(connection.buffer.get());
     evbuffer_unfreeze(in, 0);
-    const int max_bytes = static_cast<int>(limits_.value + limits_.http_head);
+    const int max_bytes = static_cast<int>(limits_.max_value + limits_.max_http_head);
     const bool received = evbuffer_read(in, bufferevent_getfd(connection.buffer.get()), max_bytes) > 0;
     evbuffer_freeze(in, 0);
     return received && !connection.streaming && HandleAnswer(connection, InputEnd::kOpen) == Parsed::kDone;
@@ -211,12 +212,12 @@
     return;
   switch (HandleAnswer(connection, InputEnd::kOpen)) {
     case Parsed::kMore:
-      loop_.deadlines().Drop(connection.deadline);
-      SetAnswerDeadline(connection, limits_.answer);
+      loop_.deadlines().Cancel(connection.deadline);
+      SetAnswerDeadline(connection, limits_.answer_stall_timeout);
       return;
     case Parsed::kBad:
       LogLine(Level::kDebug) << "bad answer from " << engine_.FindServer(connection.server)->uid;
-      return CloseWithResult(connection, Result::kSpoilt);
+      return CloseWithResult(connection, Result::kMalformed);
     case Parsed::kDone:
       return;
   }
@@ -226,11 +227,12 @@
 // closed.
 Parsed AttemptPool::HandleAnswer(Connection& connection, InputEnd input) {
   std::size_t used = 0;
-  AttemptEnd end;
+  AttemptResult end;
   bool keep = true;
-  const Parsed got = Parse(Gathered(connection.buffer.get()), connection.operation, input, used, end, keep);
+  const Parsed got =
+      Parse(ContiguousInput(connection.buffer.get()), connection.operation, input, used, end, keep);
   if (got != Parsed::kDone) return got;
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   evbuffer_drain(bufferevent_get_input(connection.buffer.get()), used);
   const AttemptId attempt = connection.operation.attempt;
   const bool whole =
@@ -251,24 +253,24 @@
 bool AttemptPool::TryStartStreaming(Connection& connection) {
   evbuffer* in = bufferevent_get_input(connection.buffer.get());
   const std::size_t have = evbuffer_get_length(in);
-  const std::size_t head_size = std::min(have, limits_.http_head + limits_.line + 8);
+  const std::size_t head_size = std::min(have, limits_.max_http_head + limits_.max_line + 8);
   const std::string_view front(
       reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(head_size))), head_size);
   std::size_t used = 0, trailer = 0;
-  AttemptEnd head;
+  AttemptResult head;
   std::optional<std::uint64_t> length;
   bool keep = true;
   const Parsed got = ParseHead(front, connection.operation, used, head, length, trailer, keep);
-  if (got != Parsed::kDone || !length || *length <= limits_.value) return false;  // read it whole
+  if (got != Parsed::kDone || !length || *length <= limits_.max_value) return false;  // read it whole
   evbuffer_drain(in, used);
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   connection.streaming = true;
   connection.value_left = *length;
   connection.trailer = trailer;
   connection.keep = keep;
   connection.streamed_end = std::move(head);
   const AttemptId attempt = connection.operation.attempt;
-  if (!engine_.AttemptOpened(attempt, static_cast<std::size_t>(*length))) {
+  if (!engine_.StreamStarted(attempt, static_cast<std::size_t>(*length))) {
     if (busy_.contains(attempt)) CloseWithResult(connection, Result::kCancelled);
     return true;
   }
@@ -282,13 +284,13 @@
   evbuffer* in = bufferevent_get_input(connection.buffer.get());
   std::string piece;
   while (connection.value_left > 0 && evbuffer_get_length(in) > 0) {
-    if (engine_.Backlog(attempt) > limits_.stream_window) return PauseForBackpressure(connection);
+    if (engine_.BufferedBytes(attempt) > limits_.stream_window) return PauseForBackpressure(connection);
     const auto n = static_cast<std::size_t>(
         std::min<std::uint64_t>({connection.value_left, evbuffer_get_length(in), kPiece}));
     piece.resize(n);
     evbuffer_remove(in, piece.data(), n);
     connection.value_left -= n;
-    engine_.AttemptPiece(attempt, piece);
+    engine_.StreamChunk(attempt, piece);
     if (!busy_.contains(attempt)) return;  // abandoned meanwhile, and its connection closed
   }
   if (connection.value_left > 0 || evbuffer_get_length(in) < connection.trailer) return;
@@ -297,7 +299,7 @@
         reinterpret_cast<const char*>(evbuffer_pullup(in, static_cast<ev_ssize_t>(connection.trailer))),
         connection.trailer);
     if (end != std::string_view("\r\n").substr(0, connection.trailer))
-      return CloseWithResult(connection, Result::kSpoilt);
+      return CloseWithResult(connection, Result::kMalformed);
     evbuffer_drain(in, connection.trailer);
   }
   FinishStreaming(connection);
@@ -305,7 +307,7 @@
 
 void AttemptPool::FinishStreaming(Connection& connection) {
   const AttemptId attempt = connection.operation.attempt;
-  AttemptEnd end = std::move(connection.streamed_end);
+  AttemptResult end = std::move(connection.streamed_end);
   end.result = Result::kOk;
   end.streamed = true;
   connection.streaming = false;
@@ -324,12 +326,12 @@
 // was sent to the client. The backlog is checked again every 5 ms.
 void AttemptPool::PauseForBackpressure(Connection& connection) {
   bufferevent_disable(connection.buffer.get(), EV_READ);
-  loop_.deadlines().Drop(connection.deadline);
+  loop_.deadlines().Cancel(connection.deadline);
   connection.deadline =
       loop_.deadlines().Set(loop_.Now() + std::chrono::milliseconds(5), [this, it = connection.self] {
         it->deadline = {};
-        engine_.AttemptPiece(it->operation.attempt, {});
-        if (engine_.Backlog(it->operation.attempt) > limits_.stream_window / 2)
+        engine_.StreamChunk(it->operation.attempt, {});
+        if (engine_.BufferedBytes(it->operation.attempt) > limits_.stream_window / 2)
           return PauseForBackpressure(*it);
         bufferevent_enable(it->buffer.get(), EV_READ);
         StreamValue(*it);
@@ -343,8 +345,8 @@
   connection.deadline = loop_.deadlines().Set(loop_.Now() + wait, [this, it = connection.self] {
     it->deadline = {};
     if (HasUnreadInput(bufferevent_getfd(it->buffer.get())))
-      return SetAnswerDeadline(*it, limits_.answer / 4);
-    CloseWithResult(*it, Result::kSpoilt);
+      return SetAnswerDeadline(*it, limits_.answer_stall_timeout / 4);
+    CloseWithResult(*it, Result::kMalformed);
   });
 }
 
@@ -357,30 +359,31 @@
     return CloseConnection(connection);
   }
   busy_.erase(connection.operation.attempt);
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   connection.operation = {};
   connection.written = false;
   connection.idle = true;
   connection.idle_since = loop_.Now();
   idle_[connection.server].push_back(connection.self);
-  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.idle, [this, it = connection.self] {
-    it->deadline = {};
-    CloseConnection(*it);
-  });
+  connection.deadline = loop_.deadlines().Set(loop_.Now() + limits_.server_connection_idle_timeout,
+                                              [this, it = connection.self] {
+                                                it->deadline = {};
+                                                CloseConnection(*it);
+                                              });
 }
 
 void AttemptPool::CloseWithResult(Connection& connection, Result result) {
   const AttemptId attempt = connection.operation.attempt;
   CloseConnection(connection);
   if (attempt == 0) return;
-  AttemptEnd end;
+  AttemptResult end;
   end.result = result;
   engine_.AttemptEnded(attempt, std::move(end));
 }
 
 void AttemptPool::CloseConnection(Connection& connection) {
-  loop_.deadlines().Drop(connection.deadline);
-  loop_.deadlines().Drop(connection.send_deadline);
+  loop_.deadlines().Cancel(connection.deadline);
+  loop_.deadlines().Cancel(connection.send_deadline);
   if (connection.idle) std::erase(idle_[connection.server], connection.self);
   busy_.erase(connection.operation.attempt);
   --budget_.open;
@@ -410,13 +413,13 @@
 // Makes room for one more connection: if the budget is used up, an idle connection of any pool is closed.
 // If each pool closed only its own, idle connections to cache servers could lock out the origin.
 bool AttemptPool::EnsureCapacity() {
-  return budget_.open < limits_.attempt_conns ||
+  return budget_.open < limits_.max_server_connections ||
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); });
 }
 
-void AttemptPool::Trim() {
-  while (budget_.open > limits_.attempt_conns &&
+void AttemptPool::CloseExcessIdle() {
+  while (budget_.open > limits_.max_server_connections &&
          std::any_of(budget_.pools.begin(), budget_.pools.end(),
                      [](AttemptPool* pool) { return pool->CloseOneIdle(); })) {
   }
@@ -439,14 +442,14 @@
 }
 
 Parsed CacheServerPool::ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
-                                  AttemptEnd& end, std::optional<std::uint64_t>& length,
+                                  AttemptResult& end, std::optional<std::uint64_t>& length,
                                   std::size_t& trailer, bool&) const {
   trailer = 2;
   return ParseAttemptHead(in, *operation.request, limits(), used, end, length);
 }
 
 Parsed CacheServerPool::Parse(std::string_view in, const Operation& operation, InputEnd, std::size_t& used,
-                              AttemptEnd& end, bool&) const {
+                              AttemptResult& end, bool&) const {
   if (!operation.request) return ParseProbeReply(in, operation.load, limits(), used, end);
   return ParseAttemptReply(in, *operation.request, limits(), used, end);
 }
@@ -456,7 +459,7 @@
   return WriteOriginAttempt(server.endpoint, *operation.request, left);
 }
 
-Parsed OriginClient::ParseHead(std::string_view in, const Operation&, std::size_t& used, AttemptEnd& end,
+Parsed OriginClient::ParseHead(std::string_view in, const Operation&, std::size_t& used, AttemptResult& end,
                                std::optional<std::uint64_t>& length, std::size_t& trailer,
                                bool& keep) const {
   HttpAnswer answer;
@@ -464,17 +467,17 @@
   const Parsed got = ParseHttpHead(in, limits(), used, answer, length);
   if (got != Parsed::kDone) return got;
   if (answer.status != 200) length.reset();  // only a value is streamed
-  keep = answer.keep;
+  keep = answer.keep_alive;
   end = ReadOriginProbe(answer);
   return got;
 }
 
 Parsed OriginClient::Parse(std::string_view in, const Operation& operation, InputEnd input,
-                           std::size_t& used, AttemptEnd& end, bool& keep) const {
+                           std::size_t& used, AttemptResult& end, bool& keep) const {
   HttpAnswer answer;
-  const Parsed got = ParseHttpAnswer(in, limits().value, limits(), input, used, answer);
+  const Parsed got = ParseHttpAnswer(in, limits().max_value, limits(), input, used, answer);
   if (got != Parsed::kDone) return got;
-  keep = answer.keep;
+  keep = answer.keep_alive;
   end =
       operation.request ? ReadOriginAnswer(std::move(answer), *operation.request) : ReadOriginProbe(answer);
   return got;
--- a/src/net/attempt_pool.h
+++ b/src/net/attempt_pool.h
@@ -21,24 +21,25 @@
 class AttemptPool;
 
 // The number of connections to servers that are open, over all pools of the process.
-struct ConnBudget {
+struct ConnectionBudget {
   std::size_t open = 0;
   std::vector<AttemptPool*> pools;
 };
 
-class AttemptPool : public Back {
+class AttemptPool : public BackEnd {
  public:
-  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters, ConnBudget& budget);
+  AttemptPool(Loop& loop, Engine& engine, const Limits& limits, Counters& counters,
+              ConnectionBudget& budget);
   ~AttemptPool() override;
 
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent> request, Time until,
-             Time sent_by) override;
+             Time send_deadline) override;
   void Probe(AttemptId probe, ServerId to, bool load) override;
   bool Abandon(AttemptId attempt) override;
   void CloseIdle(ServerId server) override;
   void Forget(ServerId server) override;
   // Closes idle connections of all pools until the number of open ones is within a limit that was lowered.
-  void Trim();
+  void CloseExcessIdle();
 
  protected:
   struct Operation {  // the attempt or probe that a connection carries
@@ -46,21 +47,21 @@
     std::shared_ptr<const RequestContent> request;  // empty for a probe
     bool load = false;                              // of a probe: whether it asks for a load report
     Time until{0};
-    Time sent_by{0};
+    Time send_deadline{0};
   };
   // The bytes to send. `left`: the time until which an answer is of use, as a duration from now.
   virtual std::string Format(const Operation& operation, const Server& server, Duration left) const = 0;
   // Parses a whole answer. `input`: whether the server has closed its side, which ends some answers.
   // `keep`: whether the connection may be reused.
   virtual Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-                       AttemptEnd& end, bool& keep) const = 0;
+                       AttemptResult& end, bool& keep) const = 0;
   const Limits& limits() const { return limits_; }
   // Parses the head of an answer to a read whose value may be streamed. kDone with `length`: the value has
   // that length and begins after `used` bytes, `trailer` is the number of bytes that follow it (a CRLF, or
   // none), and `end` holds what the head states about the attempt. kDone without `length`: the answer is to
   // be read whole by Parse. kMore and kBad as for Parse.
   virtual Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used,
-                           AttemptEnd& end, std::optional<std::uint64_t>& length, std::size_t& trailer,
+                           AttemptResult& end, std::optional<std::uint64_t>& length, std::size_t& trailer,
                            bool& keep) const = 0;
 
  private:
@@ -79,8 +80,8 @@
     bool streaming = false;
     std::uint64_t value_left = 0;
     std::size_t trailer = 0;
-    bool keep = true;         // whether the connection may be reused after it
-    AttemptEnd streamed_end;  // what the answer's head stated
+    bool keep = true;            // whether the connection may be reused after it
+    AttemptResult streamed_end;  // what the answer's head stated
     bool idle = false;
     Time idle_since{0};
     Operation operation;
@@ -114,7 +115,7 @@
   Engine& engine_;
   const Limits& limits_;
   Counters& counters_;
-  ConnBudget& budget_;
+  ConnectionBudget& budget_;
   std::list<Connection> connections_;
   std::unordered_map<AttemptId, ConnectionIt> busy_;
   std::unordered_map<ServerId, std::vector<ConnectionIt>> idle_;  // the most recently used one last
@@ -125,11 +126,11 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptResult& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
   std::string Format(const Operation& operation, const Server& server, Duration left) const override;
   Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-               AttemptEnd& end, bool& keep) const override;
+               AttemptResult& end, bool& keep) const override;
 };
 
 class OriginClient : public AttemptPool {
@@ -137,11 +138,11 @@
   using AttemptPool::AttemptPool;
 
  private:
-  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptEnd& end,
+  Parsed ParseHead(std::string_view in, const Operation& operation, std::size_t& used, AttemptResult& end,
                    std::optional<std::uint64_t>& length, std::size_t& trailer, bool& keep) const override;
   std::string Format(const Operation& operation, const Server& server, Duration left) const override;
   Parsed Parse(std::string_view in, const Operation& operation, InputEnd input, std::size_t& used,
-               AttemptEnd& end, bool& keep) const override;
+               AttemptResult& end, bool& keep) const override;
 };
 
 }  // namespace brasswood
--- a/src/net/client_endings.cpp
+++ b/src/net/client_close.cpp
@@ -6,21 +6,22 @@
 #include <vector>
 
 #include "base/log.h"
-#include "net/client_front.h"
+#include "net/client_front_end.h"
 
 namespace brasswood {
 
 // Sets the timeout of a client. Guards against clients that occupy a place in the table without sending a
-// complete command: a command must be complete within Limits::speak after the connection was accepted or
-// after the command's first byte, and an idle connection is closed after Limits::rest.
-void ClientFront::SetTimeout(Client& client) {
-  loop_.deadlines().Drop(client.deadline);
+// complete command: a command must be complete within Limits::command_timeout after the connection was
+// accepted or after the command's first byte, and an idle connection is closed after
+// Limits::client_idle_timeout.
+void ClientFrontEnd::SetTimeout(Client& client) {
+  loop_.deadlines().Cancel(client.deadline);
   // A client that waits for an answer, or is still receiving one, has no timeout here.
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return;
-  const Time at = !client.used                      ? client.last_active + limits_.speak
-                  : client.partial_since != Time(0) ? client.partial_since + limits_.speak
-                                                    : loop_.Now() + limits_.rest;
+  const Time at = !client.used                      ? client.last_active + limits_.command_timeout
+                  : client.partial_since != Time(0) ? client.partial_since + limits_.command_timeout
+                                                    : loop_.Now() + limits_.client_idle_timeout;
   if (client.used && client.partial_since == Time(0)) EnterIdleQueue(client);
   client.deadline = loop_.deadlines().Set(at, [this, id = client.id] { OnTimeout(id); });
 }
@@ -30,7 +31,7 @@
 // it cannot send another command. So only part of the table may be idle; beyond it the longest idle client
 // is closed, soon after its answer. Clients that have sent a command after being idle reuse their
 // connections: they have a larger part, because otherwise every third of their connections would be closed.
-void ClientFront::EnterIdleQueue(Client& client) {
+void ClientFrontEnd::EnterIdleQueue(Client& client) {
   if (client.idle_queue != nullptr) return;
   client.idle_queue = client.reused ? &idle_reused_ : &idle_used_once_;
   client.idle_since = loop_.Now();
@@ -40,16 +41,16 @@
     EvictIdle(*client.idle_queue);
 }
 
-void ClientFront::LeaveIdleQueue(Client& client) {
+void ClientFrontEnd::LeaveIdleQueue(Client& client) {
   if (client.idle_queue != nullptr) client.idle_queue->ids.erase(client.idle_position);
   client.idle_queue = nullptr;
 }
 
-void ClientFront::EvictIdle(IdleQueue& queue) {
+void ClientFrontEnd::EvictIdle(IdleQueue& queue) {
   queue.eviction = {};
   while (queue.ids.size() > queue.max_size) {
     Client& client = **clients_.Find(queue.ids.front());
-    const Time due = client.idle_since + limits_.brief;
+    const Time due = client.idle_since + limits_.min_client_idle;
     if (due > loop_.Now()) {
       queue.eviction = loop_.deadlines().Set(due, [this, &queue] { EvictIdle(queue); });
       return;
@@ -60,11 +61,11 @@
       continue;
     }
     ++counters_.made_way;
-    CloseGracefully(client, ClientEnd::kMadeWay);
+    CloseGracefully(client, ClientEndReason::kEvicted);
   }
 }
 
-void ClientFront::OnTimeout(std::uint64_t id) {
+void ClientFrontEnd::OnTimeout(std::uint64_t id) {
   Client& client = **clients_.Find(id);
   client.deadline = {};
   // If the loop runs late, this deadline may be due before data that arrived in time was read.
@@ -75,22 +76,23 @@
   }
   if (client.partial_since == Time(0)) {
     counters_.silent += !client.used;
-    return CloseGracefully(client, client.used ? ClientEnd::kRested : ClientEnd::kSilent);
+    return CloseGracefully(client,
+                           client.used ? ClientEndReason::kIdleTimeout : ClientEndReason::kCommandTimeout);
   }
   ++counters_.silent;
-  MarkClosing(client, ClientEnd::kSilent);
+  MarkClosing(client, ClientEndReason::kCommandTimeout);
   Reply(client, "CLIENT_ERROR command not ended in time\r\n");
 }
 
 // Closes an idle connection gracefully. Guards against a command that crosses the close: closing at once
 // would answer it with a reset, and answers that the client has not received yet would be lost.
-void ClientFront::CloseGracefully(Client& client, ClientEnd why) {
+void ClientFrontEnd::CloseGracefully(Client& client, ClientEndReason why) {
   MarkClosing(client, why);
   LingeringClose(client);
 }
 
 // Marks the client as closing. Only the first reason counts.
-void ClientFront::MarkClosing(Client& client, ClientEnd why) {
+void ClientFrontEnd::MarkClosing(Client& client, ClientEndReason why) {
   if (client.closing) return;
   client.closing = true;
   client.close_reason = why;
@@ -99,8 +101,8 @@
 // Performs a lingering close of a client that is closing. Guards against error messages that never arrive:
 // closing a socket with unread input sends a reset, which can destroy an answer in transit. So further
 // input is read and discarded, the answers are sent, the sending side is shut, and the socket is closed
-// when the client closes, or after Limits::hang_up.
-void ClientFront::LingeringClose(Client& client) {
+// when the client closes, or after Limits::client_close_timeout.
+void ClientFrontEnd::LingeringClose(Client& client) {
   if (!client.discard) {
     LeaveIdleQueue(client);
     bufferevent_disable(client.buffer.get(), EV_READ);
@@ -113,24 +115,25 @@
         },
         &client));
     event_add(client.discard.get(), nullptr);
-    loop_.deadlines().Drop(client.deadline);
+    loop_.deadlines().Cancel(client.deadline);
   }
   if (client.write_shut || !IsIdle(client)) return;
   client.write_shut = true;
   ::shutdown(bufferevent_getfd(client.buffer.get()), SHUT_WR);
-  client.deadline = loop_.deadlines().Set(loop_.Now() + limits_.hang_up,
-                                          [this, id = client.id] { Close(id, ClientEnd::kTakesNothing); });
+  client.deadline =
+      loop_.deadlines().Set(loop_.Now() + limits_.client_close_timeout,
+                            [this, id = client.id] { Close(id, ClientEndReason::kClientStalled); });
 }
 
 // MSG_TRUNC lets the kernel discard the bytes without copying them: tens of megabytes may arrive.
-void ClientFront::DiscardInput(Client& client) {
+void ClientFrontEnd::DiscardInput(Client& client) {
   constexpr std::size_t kMaxBytesPerCall = 1 << 20;
   const ssize_t n =
       ::recv(bufferevent_getfd(client.buffer.get()), nullptr, kMaxBytesPerCall, MSG_TRUNC | MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-  if (n <= 0) return Close(client.id, ClientEnd::kByClient);
+  if (n <= 0) return Close(client.id, ClientEndReason::kClosedByClient);
   client.discarded_bytes += static_cast<std::size_t>(n);
-  if (client.discarded_bytes <= limits_.discard) return;
+  if (client.discarded_bytes <= limits_.max_discarded) return;
   if (client.write_shut) return Close(client.id, client.close_reason);
   event_del(client.discard.get());  // an answer is still pending: the rest of the input waits in the kernel
   ScheduleCloseCheck(client);
@@ -138,23 +141,24 @@
 
 // Closes and removes a client; every client ends here. `why` is the reason, unless its sending side
 // had already been shut for another one.
-void ClientFront::Close(std::uint64_t id, ClientEnd why) {
+void ClientFrontEnd::Close(std::uint64_t id, ClientEndReason why) {
   auto* found = clients_.Find(id);
   if (found == nullptr) return;
   const std::unique_ptr<Client> client = std::move(*found);
   clients_.Remove(id);
-  const ClientEnd ended = client->closing && client->write_shut ? client->close_reason : why;
+  const ClientEndReason ended = client->closing && client->write_shut ? client->close_reason : why;
   ++counters_.clients_ended[static_cast<std::size_t>(ended)];
   LogLine(Level::kDebug) << "client " << id
-                         << " closed: " << kClientEndNames[static_cast<std::size_t>(ended)]
+                         << " closed: " << kClientEndReasonNames[static_cast<std::size_t>(ended)]
                          << ", pending: " << client->pending.size();
-  const bool by_client = ended == ClientEnd::kByClient || ended == ClientEnd::kTakesNothing;
+  const bool by_client =
+      ended == ClientEndReason::kClosedByClient || ended == ClientEndReason::kClientStalled;
   const std::string_view unanswered =
       client->pending.empty() ? std::string_view() : client->pending.front().id;
-  counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeEnd,
+  counters_.invariants.Expect(by_client || client->pending.empty(), Invariant::kAnsweredBeforeClose,
                               unanswered);
-  loop_.deadlines().Drop(client->deadline);
-  loop_.deadlines().Drop(client->close_check);
+  loop_.deadlines().Cancel(client->deadline);
+  loop_.deadlines().Cancel(client->close_check);
   LeaveIdleQueue(*client);
   client->discard.reset();
   client->buffer.reset();
@@ -162,7 +166,7 @@
 }
 
 // Cancels everything that is pending for a client that can receive no more answers.
-void ClientFront::CancelPending(Client& client) {
+void ClientFrontEnd::CancelPending(Client& client) {
   const std::deque<Pending> pending = std::exchange(client.pending, {});
   client.first_number += pending.size();
   client.held_bytes = 0;
@@ -172,21 +176,21 @@
   }
 }
 
-void ClientFront::Reshare() {
-  idle_used_once_.max_size = limits_.resting;
-  idle_reused_.max_size = limits_.resting_again;
+void ClientFrontEnd::ApplyLimits() {
+  idle_used_once_.max_size = limits_.max_idle_clients;
+  idle_reused_.max_size = limits_.max_idle_reused_clients;
   if (idle_used_once_.eviction == Deadlines::Id()) EvictIdle(idle_used_once_);
   if (idle_reused_.eviction == Deadlines::Id()) EvictIdle(idle_reused_);
 }
 
-void ClientFront::SendAway(bool on) {
+void ClientFrontEnd::SetDraining(bool on) {
   if (draining_ == on) return;
   draining_ = on;
   if (on) AdvanceAll();
 }
 
 // The ids are copied first, because Advance may remove clients from the table.
-void ClientFront::AdvanceAll() {
+void ClientFrontEnd::AdvanceAll() {
   std::vector<std::uint64_t> all;
   clients_.Each([&](std::uint64_t id, auto&) { all.push_back(id); });
   for (const std::uint64_t id : all) Advance(id);
--- a/src/net/client_front.cpp
+++ b/src/net/client_front_end.cpp
@@ -1,4 +1,4 @@
-#include "net/client_front.h"
+#include "net/client_front_end.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-ClientFront::ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names,
-                         Counters& counters, const std::string& address)
+ClientFrontEnd::ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
+                               Counters& counters, const std::string& address)
     : loop_(loop),
       engine_(engine),
       limits_(limits),
@@ -33,14 +33,14 @@
       counters_(counters),
       listener_(nullptr, evconnlistener_free),
       shutdown_(limits) {
-  idle_used_once_.max_size = limits_.resting;
-  idle_reused_.max_size = limits_.resting_again;
+  idle_used_once_.max_size = limits_.max_idle_clients;
+  idle_reused_.max_size = limits_.max_idle_reused_clients;
   const auto at = ParseAddress(address);
   if (!at) throw std::runtime_error("not an address to listen on: " + address);
   listener_.reset(evconnlistener_new_bind(
       loop_.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        static_cast<ClientFront*>(self)->Accept(fd);
+        static_cast<ClientFrontEnd*>(self)->Accept(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT | LEV_OPT_CLOSE_ON_EXEC,
       1024, reinterpret_cast<const sockaddr*>(&*at), sizeof *at));
@@ -48,20 +48,20 @@
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* self) {
     // Out of descriptors: the connection stays in the accept queue, and the listener stays readable.
     LogLine(Level::kWarn) << "cannot accept: " << std::strerror(EVUTIL_SOCKET_ERROR());
-    static_cast<ClientFront*>(self)->OnAcceptFailed();
+    static_cast<ClientFrontEnd*>(self)->OnAcceptFailed();
   });
 }
 
-ClientFront::~ClientFront() = default;
+ClientFrontEnd::~ClientFrontEnd() = default;
 
-std::uint16_t ClientFront::port() const {
+std::uint16_t ClientFrontEnd::port() const {
   sockaddr_in at{};
   socklen_t size = sizeof at;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
   return ntohs(at.sin_port);
 }
 
-void ClientFront::ResumeAccepting() {
+void ClientFrontEnd::ResumeAccepting() {
   if (listening_ || listener_closed_) return;
   listening_ = true;
   evconnlistener_enable(listener_.get());
@@ -76,12 +76,13 @@
 // answer; 1, those that connected and sent nothing; 2, those that were served and are idle; 3, those that
 // are slow to complete a command. -1: never evicted, because it waits for an answer, or has just connected
 // or begun a command and is about to send the rest.
-int ClientFront::EvictionRank(const Client& client, Time now) const {
+int ClientFrontEnd::EvictionRank(const Client& client, Time now) const {
   if (client.write_shut) return 0;
   if (!client.pending.empty() || evbuffer_get_length(bufferevent_get_output(client.buffer.get())) != 0)
     return -1;
-  if (client.partial_since != Time(0)) return now - client.partial_since > limits_.hurry ? 3 : -1;
-  if (!client.used) return now - client.last_active > limits_.hurry ? 1 : -1;
+  if (client.partial_since != Time(0))
+    return now - client.partial_since > limits_.evict_silent_after ? 3 : -1;
+  if (!client.used) return now - client.last_active > limits_.evict_silent_after ? 1 : -1;
   return 2;
 }
 
@@ -91,8 +92,8 @@
 // moment, its client sends it again. A client is not evicted if unread input has arrived, or if its kernel
 // has not acknowledged its last answer: a command that crosses the close would cause a reset, and the
 // answer would be lost.
-void ClientFront::EvictIfFull() {
-  if (clients_.size() < limits_.clients) return;
+void ClientFrontEnd::EvictIfFull() {
+  if (clients_.size() < limits_.max_clients) return;
   const Time now = loop_.Now();
   std::uint64_t chosen = 0;
   std::pair<int, Time> lowest{4, Time(0)};
@@ -106,12 +107,12 @@
   });
   if (chosen == 0) return PauseAccepting(kFullPause);  // no client may be evicted
   ++counters_.made_way;
-  Close(chosen, ClientEnd::kMadeWay);
+  Close(chosen, ClientEndReason::kEvicted);
 }
 
 // Guards against requests that wait in the accept queue although a shortage has passed: after one failure
 // accepting is retried after a millisecond, and only consecutive failures lead to longer pauses.
-void ClientFront::OnAcceptFailed() {
+void ClientFrontEnd::OnAcceptFailed() {
   Duration pause = kMinPause;
   for (int i = 0; i < accept_failures_ && pause < kFullPause; ++i) pause *= 2;
   ++accept_failures_;
@@ -120,21 +121,21 @@
 
 // Accepts no connections for the time of `pause`. Otherwise a loop that cannot accept would busy-loop on
 // the readable listener.
-void ClientFront::PauseAccepting(Duration pause) {
+void ClientFrontEnd::PauseAccepting(Duration pause) {
   if (!listening_) return;
   listening_ = false;
-  loop_.deadlines().Drop(accept_queue_drained_);
+  loop_.deadlines().Cancel(accept_queue_drained_);
   if (accept_queue_empty_at_ == Time(0)) accept_queue_empty_at_ = loop_.Now();
   evconnlistener_disable(listener_.get());
   loop_.deadlines().Set(loop_.Now() + pause, [this] { ResumeAccepting(); });
 }
 
-bool ClientFront::IsIdle(const Client& client) {
+bool ClientFrontEnd::IsIdle(const Client& client) {
   return client.pending.empty() && evbuffer_get_length(bufferevent_get_output(client.buffer.get())) == 0 &&
          (client.closing || evbuffer_get_length(bufferevent_get_input(client.buffer.get())) == 0);
 }
 
-void ClientFront::Accept(evutil_socket_t fd) {
+void ClientFrontEnd::Accept(evutil_socket_t fd) {
   loop_.RecordPollReturn();
   accept_failures_ = 0;
   const int on = 1;
@@ -145,7 +146,7 @@
   client.buffer.reset(bufferevent_socket_new(loop_.base(), fd, BEV_OPT_CLOSE_ON_FREE));
   if (!client.buffer) {
     evutil_closesocket(fd);
-    ++counters_.clients_ended[static_cast<std::size_t>(ClientEnd::kNoMemory)];
+    ++counters_.clients_ended[static_cast<std::size_t>(ClientEndReason::kNoMemory)];
     return;
   }
   client.last_active = loop_.Now();
@@ -168,13 +169,14 @@
       [](bufferevent*, short what, void* p) {
         auto* at = static_cast<Client*>(p);
         at->front->loop_.RecordPollReturn();
-        if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEnd::kTakesNothing);
-        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) at->front->Close(at->id, ClientEnd::kByClient);
+        if (what & BEV_EVENT_TIMEOUT) return at->front->Close(at->id, ClientEndReason::kClientStalled);
+        if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
+          at->front->Close(at->id, ClientEndReason::kClosedByClient);
       },
       &client);
   // Buffers at most one command of the largest size and a little more; the rest waits in the kernel.
-  bufferevent_setwatermark(client.buffer.get(), EV_READ, 0, limits_.value + 2 * limits_.line);
-  const auto stall = std::chrono::duration_cast<std::chrono::seconds>(limits_.write_stall).count();
+  bufferevent_setwatermark(client.buffer.get(), EV_READ, 0, limits_.max_value + 2 * limits_.max_line);
+  const auto stall = std::chrono::duration_cast<std::chrono::seconds>(limits_.write_stall_timeout).count();
   const timeval write_timeout{static_cast<time_t>(stall), 0};
   bufferevent_set_timeouts(client.buffer.get(), nullptr, &write_timeout);
   bufferevent_enable(client.buffer.get(), EV_READ | EV_WRITE);
@@ -184,17 +186,18 @@
 
 // Whether no more commands of this client are read for now: too many are unanswered, or too many answer
 // bytes are unsent.
-bool ClientFront::IsFull(const Client& client) const {
-  return client.pending.size() >= limits_.pipeline ||
+bool ClientFrontEnd::IsFull(const Client& client) const {
+  return client.pending.size() >= limits_.max_pipeline ||
          client.held_bytes + evbuffer_get_length(bufferevent_get_output(client.buffer.get())) >=
-             limits_.unsent;
+             limits_.max_unsent;
 }
 
-void ClientFront::ReadCommands(Client& client) {
+void ClientFrontEnd::ReadCommands(Client& client) {
   const std::uint64_t id = client.id;
   // Guards against work for a client that has already closed: its remaining commands are not read, however
   // many there are.
-  if (PeerClosed(bufferevent_getfd(client.buffer.get()))) return Close(id, ClientEnd::kByClient);
+  if (PeerClosed(bufferevent_getfd(client.buffer.get())))
+    return Close(id, ClientEndReason::kClosedByClient);
   while (!client.closing) {
     if (IsFull(client)) {
       client.read_paused = true;
@@ -203,7 +206,7 @@
     }
     std::size_t used = 0;
     Command command;
-    const Parsed got = ParseCommand(Gathered(client.buffer.get()), limits_, used, command);
+    const Parsed got = ParseCommand(ContiguousInput(client.buffer.get()), limits_, used, command);
     if (got == Parsed::kMore) {
       const bool begun = evbuffer_get_length(bufferevent_get_input(client.buffer.get())) != 0;
       client.queued_since = Time(0);
@@ -215,7 +218,7 @@
     client.partial_since = Time(0);
     if (got == Parsed::kBad) {
       ++counters_.bad_commands;
-      MarkClosing(client, ClientEnd::kBadCommand);
+      MarkClosing(client, ClientEndReason::kBadCommand);
       Reply(client, "CLIENT_ERROR " + command.error + "\r\n");
       break;
     }
@@ -232,7 +235,7 @@
         Reply(client, ReportsReady() ? "MN\r\n" : "SERVER_ERROR not ready\r\n");
         break;
       case Verb::kQuit:
-        MarkClosing(client, ClientEnd::kQuit);
+        MarkClosing(client, ClientEndReason::kQuit);
         break;
       case Verb::kUnknown:
         ++counters_.bad_commands;
@@ -251,44 +254,45 @@
 // has given up, because its command waited in the accept queue of a paused listener or while the process
 // was stopped. The times of the loop's polls bound the arrival; where they cannot, the kernel's time of the
 // last received byte does. Time spent waiting for earlier answers of the same connection does not count.
-Time ClientFront::ArrivalTime(const Client& client) {
+Time ClientFrontEnd::ArrivalTime(const Client& client) {
   const Time now = loop_.Now();
   const bool queued = client.queued_since != Time(0);
   const auto unread = TimeSinceLastByte(bufferevent_getfd(client.buffer.get()));
   if (queued) return unread ? std::max(client.queued_since, now - *unread) : client.queued_since;
   const Time arrived = loop_.EarliestArrival();
   if (!unread || client.read_resumed) return arrived;
-  return std::min(arrived, now - std::min(*unread, limits_.held_up));
+  return std::min(arrived, now - std::min(*unread, limits_.max_assumed_stall));
 }
 
-void ClientFront::StartRequest(Client& client, RequestContent content) {
+void ClientFrontEnd::StartRequest(Client& client, RequestContent content) {
   NewRequest request;
   std::string error = BuildRequest(std::move(content), names_, limits_, request);
   request.arrived = ArrivalTime(client);
   // Guards against two open requests with the same id: servers' answers are matched by it, and the first
   // request, possibly of another client, must not be affected.
-  if (error.empty() && engine_.Holds(request.content->id)) error = "this id is in use";
+  if (error.empty() && engine_.HasRequest(request.content->id)) error = "this id is in use";
   if (!error.empty()) {
     ++counters_.bad_commands;
     return Reply(client, "CLIENT_ERROR " + error + "\r\n");
   }
-  if (!shutdown_.TakesWork(loop_.Now())) return RefuseRequest(client, request.content->id);
+  if (!shutdown_.AcceptsWork(loop_.Now())) return RefuseRequest(client, request.content->id);
   Pending pending;
   pending.id = request.content->id;
   const std::uint64_t number = client.first_number + client.pending.size();
   client.pending.push_back(std::move(pending));
   const std::uint64_t ticket = tickets_.Add({client.id, number});
   client.pending.back().ticket = ticket;
-  const bool late = shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMostHeldUp;
-  counters_.invariants.Expect(!late, Invariant::kNoLateWork, client.pending.back().id);
-  const RequestId id = engine_.Take(*this, ticket, std::move(request));
+  const bool late =
+      shutdown_.begun() && loop_.Now() > shutdown_.last_new_work() + Invariants::kMaxSendDelay;
+  counters_.invariants.Expect(!late, Invariant::kNoNewWorkAfterDeadline, client.pending.back().id);
+  const RequestId id = engine_.AcceptRequest(*this, ticket, std::move(request));
   if (id == 0) return Deliver(ticket, {AnswerKind::kRefused, {}, limits_.max_retry_after / 4});
   if (tickets_.Find(ticket) != nullptr) client.pending[number - client.first_number].request = id;
 }
 
 // Refuses a request read after the last moment for new work. Guards against starting work in a process that
 // is about to be killed.
-void ClientFront::RefuseRequest(Client& client, const std::string& request) {
+void ClientFrontEnd::RefuseRequest(Client& client, const std::string& request) {
   ++counters_.refused_stopping;
   LogLine(Level::kDebug) << "request " << request << " refused: the router is shutting down";
   std::string text;
@@ -296,7 +300,7 @@
   Reply(client, std::move(text));
 }
 
-void ClientFront::Reply(Client& client, std::string text) {
+void ClientFrontEnd::Reply(Client& client, std::string text) {
   client.held_bytes += text.size();
   Pending pending;
   pending.answered = true;
@@ -305,7 +309,7 @@
   Flush(client);
 }
 
-ClientFront::Pending* ClientFront::FindPending(std::uint64_t ticket, Client*& client) {
+ClientFrontEnd::Pending* ClientFrontEnd::FindPending(std::uint64_t ticket, Client*& client) {
   const Ticket* to = tickets_.Find(ticket);
   if (to == nullptr) return nullptr;
   auto* found = clients_.Find(to->client);
@@ -316,7 +320,7 @@
   return &client->pending[to->number - client->first_number];
 }
 
-void ClientFront::Deliver(std::uint64_t ticket, const Answer& answer) {
+void ClientFrontEnd::Deliver(std::uint64_t ticket, const Answer& answer) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   tickets_.Remove(ticket);
@@ -337,7 +341,7 @@
   Flush(*client);
 }
 
-void ClientFront::Open(std::uint64_t ticket, std::size_t length) {
+void ClientFrontEnd::StartStream(std::uint64_t ticket, std::size_t length) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || pending->streaming || pending->answered) return;
@@ -352,7 +356,7 @@
   Flush(*client);
 }
 
-void ClientFront::Piece(std::uint64_t ticket, std::string_view bytes) {
+void ClientFrontEnd::SendChunk(std::uint64_t ticket, std::string_view bytes) {
   Client* client = nullptr;
   Pending* pending = FindPending(ticket, client);
   if (pending == nullptr || !pending->streaming || pending->answered) return;
@@ -361,13 +365,13 @@
   Flush(*client);
 }
 
-bool ClientFront::Present(std::uint64_t ticket) const {
+bool ClientFrontEnd::IsConnected(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   const auto* found = to == nullptr ? nullptr : clients_.Find(to->client);
   return found != nullptr && !PeerClosed(bufferevent_getfd((*found)->buffer.get()));
 }
 
-std::size_t ClientFront::Backlog(std::uint64_t ticket) const {
+std::size_t ClientFrontEnd::BufferedBytes(std::uint64_t ticket) const {
   const Ticket* to = tickets_.Find(ticket);
   if (to == nullptr) return 0;
   const auto* found = clients_.Find(to->client);
@@ -378,7 +382,7 @@
 // Sends the answers that are available, as far as the order of the commands allows. What follows from an
 // answer (reading further, closing) is scheduled as a separate call of Advance, because the engine may be
 // the caller here and must not be re-entered.
-void ClientFront::Flush(Client& client) {
+void ClientFrontEnd::Flush(Client& client) {
   while (!client.cut_off && !client.pending.empty() &&
          (client.pending.front().answered || client.pending.front().streaming)) {
     Pending& front = client.pending.front();
@@ -393,7 +397,7 @@
     // client sees the connection end where the value stops.
     if (truncated) {
       client.cut_off = true;
-      MarkClosing(client, ClientEnd::kValueCut);
+      MarkClosing(client, ClientEndReason::kValueTruncated);
     }
   }
   if ((client.read_paused || client.closing || shutdown_.begun() || draining_) && !client.advance_due) {
@@ -405,19 +409,21 @@
 // Checks at intervals whether a client that is not being read has closed its connection, which no event
 // would report. Guards against further work for it: its attempts are abandoned like those of any other
 // client that closes.
-void ClientFront::ScheduleCloseCheck(Client& client) {
-  loop_.deadlines().Drop(client.close_check);
-  client.close_check = loop_.deadlines().Set(loop_.Now() + limits_.gone_look, [this, id = client.id] {
-    Client& at = **clients_.Find(id);
-    at.close_check = {};
-    if (PeerClosed(bufferevent_getfd(at.buffer.get()))) return Close(id, ClientEnd::kByClient);
-    if (at.read_paused || at.closing) ScheduleCloseCheck(at);
-  });
+void ClientFrontEnd::ScheduleCloseCheck(Client& client) {
+  loop_.deadlines().Cancel(client.close_check);
+  client.close_check =
+      loop_.deadlines().Set(loop_.Now() + limits_.client_gone_check_interval, [this, id = client.id] {
+        Client& at = **clients_.Find(id);
+        at.close_check = {};
+        if (PeerClosed(bufferevent_getfd(at.buffer.get())))
+          return Close(id, ClientEndReason::kClosedByClient);
+        if (at.read_paused || at.closing) ScheduleCloseCheck(at);
+      });
 }
 
 // Continues with a client after its answers were sent or its state changed: resumes reading it, closes it
 // if that is due, or sets its timeout.
-void ClientFront::Advance(std::uint64_t id) {
+void ClientFrontEnd::Advance(std::uint64_t id) {
   auto* found = clients_.Find(id);
   if (found == nullptr) return;
   Client& client = **found;
@@ -438,7 +444,8 @@
   // reset, and answers in transit lost. That command is read and answered first.
   const bool ending = shutdown_.begun() || draining_;
   if (ending && client.used && IsIdle(client) && !HasUnreadInput(bufferevent_getfd(client.buffer.get()))) {
-    return CloseGracefully(client, shutdown_.begun() ? ClientEnd::kStopping : ClientEnd::kSentAway);
+    return CloseGracefully(client,
+                           shutdown_.begun() ? ClientEndReason::kShutdown : ClientEndReason::kDraining);
   }
   SetTimeout(client);
 }
--- a/src/net/client_front.h
+++ b/src/net/client_front_end.h
@@ -1,7 +1,7 @@
 // The front end for clients: memcache meta commands on persistent connections. Commands may be pipelined:
 // each request starts at once, and the answers are sent in the order of the commands.
-#ifndef BRASSWOOD_NET_CLIENT_FRONT_H_
-#define BRASSWOOD_NET_CLIENT_FRONT_H_
+#ifndef BRASSWOOD_NET_CLIENT_FRONT_END_H_
+#define BRASSWOOD_NET_CLIENT_FRONT_END_H_
 
 #include <event2/listener.h>
 
@@ -20,18 +20,18 @@
 
 namespace brasswood {
 
-class ClientFront : public Front {
+class ClientFrontEnd : public FrontEnd {
  public:
   // Starts to listen on `address`; throws if that fails.
-  ClientFront(Loop& loop, Engine& engine, const Limits& limits, const Names& names, Counters& counters,
-              const std::string& address);
-  ~ClientFront() override;
+  ClientFrontEnd(Loop& loop, Engine& engine, const Limits& limits, const SettingNames& names,
+                 Counters& counters, const std::string& address);
+  ~ClientFrontEnd() override;
 
   void Deliver(std::uint64_t ticket, const Answer& answer) override;
-  void Open(std::uint64_t ticket, std::size_t length) override;
-  void Piece(std::uint64_t ticket, std::string_view bytes) override;
-  bool Present(std::uint64_t ticket) const override;
-  std::size_t Backlog(std::uint64_t ticket) const override;
+  void StartStream(std::uint64_t ticket, std::size_t length) override;
+  void SendChunk(std::uint64_t ticket, std::string_view bytes) override;
+  bool IsConnected(std::uint64_t ticket) const override;
+  std::size_t BufferedBytes(std::uint64_t ticket) const override;
 
   // Begins the graceful shutdown (core/shutdown.h): each connection closes when it becomes idle, the
   // listener closes at the last moment for new work, and `done` is called once nothing is left to answer or
@@ -41,7 +41,7 @@
   // Drains the router for operators: `mn` is answered as not ready, and each connection closes once it is
   // idle, with all answers sent and no further command received. New connections are still accepted and
   // served in the same way. `on` false ends the drain.
-  void SendAway(bool on);
+  void SetDraining(bool on);
   // Whether `mn` is answered as ready: not while draining. After SIGTERM it still is, for the half second
   // in which the listener stays open; load balancers notice the end of the process instead.
   bool ReportsReady() const { return !draining_ && engine_.ready(); }
@@ -49,7 +49,7 @@
   bool Ready() const { return ReportsReady() && !shutdown_.begun(); }
 
   // Applies changed limits (a replacement process shares them): closes idle connections beyond them.
-  void Reshare();
+  void ApplyLimits();
 
   std::size_t clients() const { return clients_.size(); }
   std::uint16_t port() const;  // the port it listens on
@@ -57,7 +57,7 @@
  private:
   struct IdleQueue {  // clients without an open request, the longest idle first
     std::list<std::uint64_t> ids;
-    std::size_t max_size = 0;  // beyond it, the longest idle are closed after Limits::brief
+    std::size_t max_size = 0;  // beyond it, the longest idle are closed after Limits::min_client_idle
     Deadlines::Id eviction;
   };
   struct Pending {  // a command whose answer was not fully sent yet
@@ -70,7 +70,7 @@
     std::string text;
   };
   struct Client {
-    ClientFront* front = nullptr;
+    ClientFrontEnd* front = nullptr;
     std::uint64_t id = 0;
     BufferPtr buffer;
     std::deque<Pending> pending;
@@ -83,9 +83,9 @@
     // the data of its first read can have arrived; otherwise 0.
     Time queued_since{0};
     bool closing = false;  // further commands are ignored; it closes once everything is answered
-    ClientEnd close_reason = ClientEnd::kByClient;  // of a client that is closing
-    bool write_shut = false;                        // everything is answered and the sending side was shut
-    bool read_paused = false;                       // not read until some of its answers were sent
+    ClientEndReason close_reason = ClientEndReason::kClosedByClient;  // of a client that is closing
+    bool write_shut = false;    // everything is answered and the sending side was shut
+    bool read_paused = false;   // not read until some of its answers were sent
     bool read_resumed = false;  // data read now may have waited for the client's own answers
     bool advance_due = false;   // a call of Advance is scheduled
     bool cut_off = false;       // a value was truncated: nothing more is sent, the rest is cancelled
@@ -124,12 +124,12 @@
   void LeaveIdleQueue(Client& client);
   void EvictIdle(IdleQueue& queue);
   void OnTimeout(std::uint64_t id);
-  void CloseGracefully(Client& client, ClientEnd why);
-  void MarkClosing(Client& client, ClientEnd why);
+  void CloseGracefully(Client& client, ClientEndReason why);
+  void MarkClosing(Client& client, ClientEndReason why);
   void LingeringClose(Client& client);
   void DiscardInput(Client& client);
   int EvictionRank(const Client& client, Time now) const;
-  void Close(std::uint64_t id, ClientEnd why);
+  void Close(std::uint64_t id, ClientEndReason why);
   void CancelPending(Client& client);
   void RefuseRequest(Client& client, const std::string& request);
   bool AcceptQueued();
@@ -141,7 +141,7 @@
   Loop& loop_;
   Engine& engine_;
   const Limits& limits_;
-  const Names& names_;
+  const SettingNames& names_;
   Counters& counters_;
   std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
   bool listening_ = true;
@@ -159,4 +159,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_CLIENT_FRONT_H_
+#endif  // BRASSWOOD_NET_CLIENT_FRONT_END_H_
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_client.h
@@ -1,8 +1,8 @@
 // Calls to discovery over TCP: executes the actions that ListRefresher decides on and reports their outcome
 // to it. Server lists are passed to the engine. When a call is made and how long it may take is decided by
 // ListRefresher, not here.
-#ifndef BRASSWOOD_NET_DISCOVERY_WATCH_H_
-#define BRASSWOOD_NET_DISCOVERY_WATCH_H_
+#ifndef BRASSWOOD_NET_DISCOVERY_CLIENT_H_
+#define BRASSWOOD_NET_DISCOVERY_CLIENT_H_
 
 #include <array>
 #include <map>
@@ -29,28 +29,28 @@
   std::uint64_t partial = 0;               // answers whose entries were used before the answer was complete
   std::uint64_t consecutive_failures = 0;  // since the last answer that was accepted
   std::uint64_t max_consecutive_failures = 0;
-  std::array<std::uint64_t, static_cast<std::size_t>(CallEnd::kCount)> ended{};
+  std::array<std::uint64_t, static_cast<std::size_t>(CallEndReason::kCount)> ended{};
 };
 
-class DiscoveryWatch : public Watch {
+class DiscoveryClient : public DiscoverySource {
  public:
   // `known`: the version of the list held at the start; negative if there is none. `phase`: from 0 to 1,
   // different for each router, so that the watches of a fleet that become unresponsive or break at the same
   // time are not reopened at the same time.
-  DiscoveryWatch(Loop& loop, Engine& engine, const Limits& limits, const SettingsRead& settings,
-                 std::string address, std::int64_t known, double phase = 0);
+  DiscoveryClient(Loop& loop, Engine& engine, const Limits& limits, const ParsedSettings& settings,
+                  std::string address, std::int64_t known, double phase = 0);
 
   // Makes the first call one that discovery answers at once, even if nothing has changed, at the cost of
   // one more call. A router with persisted state needs to know whether it is still valid, and a watch is
   // not answered before something changes.
-  void AskFirst() { refresher_.AskFirst(); }
+  void MakeFirstCallImmediate() { refresher_.MakeFirstCallImmediate(); }
 
-  void Follow(bool on) override;
-  void FetchAll() override;
+  void SetWatching(bool on) override;
+  void RequestWholeList() override;
 
   // Moves to the discovery at this address, where the whole list is requested first. Until that list
   // arrives, answers of the old address still count.
-  void MoveTo(const std::string& address);
+  void SwitchTo(const std::string& address);
 
   const DiscoveryCounters& counters() const { return counters_; }
   ListState state() const { return refresher_.state(); }
@@ -59,8 +59,8 @@
 
  private:
   struct Call {
-    Call(DiscoveryWatch& owner, const OpenCall& action, Time now);
-    DiscoveryWatch* watch = nullptr;
+    Call(DiscoveryClient& owner, const OpenCall& action, Time now);
+    DiscoveryClient* watch = nullptr;
     CallId id = 0;
     ListOrigin origin;  // of the lists that it receives; its times are filled in as they arrive
     bool connected = false;
@@ -84,13 +84,13 @@
   void HandleEntries(Call& call);
   void HandleList(Call& call, bool keep);
   ListOrigin CurrentOrigin(const Call& call) const;
-  void Fail(CallId id, CallEnd why, const std::string& detail = {});
+  void Fail(CallId id, CallEndReason why, const std::string& detail = {});
   void LogFailure(CallId id, SourceId source, const std::string& reason);
 
   Loop& loop_;
   Engine& engine_;
   const Limits& limits_;
-  const Names& names_;
+  const SettingNames& names_;
   const Time started_;
   const Duration drain_grace_;
   // The sources that are followed, moved to, or still have an open call.
@@ -107,8 +107,8 @@
 };
 
 // Prints one line of counters: the state and age of the list, and the calls by how they ended.
-std::ostream& operator<<(std::ostream& out, const DiscoveryWatch& watch);
+std::ostream& operator<<(std::ostream& out, const DiscoveryClient& watch);
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_NET_DISCOVERY_WATCH_H_
+#endif  // BRASSWOOD_NET_DISCOVERY_CLIENT_H_
--- a/src/choice/core.h
+++ b/src/policy/core.h
@@ -1,14 +1,14 @@
 // The implementation of Balancer: one class, implemented by concern in the files of this folder.
-//   load.cpp      load estimates and the budgets of cold servers
-//   health.cpp    outlier detection, ejection and zone outages
-//   silence.cpp   unresponsive servers and overdue attempts
-//   choose.cpp    server choice (LARD)
-//   gate.cpp      the rules that every send passes, admission, and the end of requests
-//   attempts.cpp  the life of a request: sends, holds, outcomes, timers
-//   learn.cpp     what outcomes teach about servers, keys, the origin and retries
-//   list.cpp      the server list
-#ifndef BEECHLEDGE_CHOICE_CORE_H_
-#define BEECHLEDGE_CHOICE_CORE_H_
+//   load.cpp              load estimates and the budgets of cold servers
+//   health.cpp            outlier detection, ejection and zone outages
+//   overdue_attempts.cpp  unresponsive servers and overdue attempts
+//   choose.cpp            server choice (LARD)
+//   send_rules.cpp        the rules that every send passes, admission, and the end of requests
+//   attempts.cpp          the life of a request: sends, holds, outcomes, timers
+//   outcomes.cpp          what outcomes teach about servers, keys, the origin and retries
+//   server_list.cpp       the server list
+#ifndef BEECHLEDGE_POLICY_CORE_H_
+#define BEECHLEDGE_POLICY_CORE_H_
 
 #include <cmath>
 #include <random>
@@ -16,31 +16,31 @@
 #include <utility>
 
 #include "base/stable_hash.h"
-#include "beechledge/kept.h"
-#include "choice/records.h"
-#include "choice/tuning.h"
-#include "recovery/list_calls.h"
+#include "beechledge/learned_state.h"
+#include "estimates/admission.h"
+#include "estimates/answer_times.h"
+#include "estimates/key_table.h"
+#include "estimates/origin_limiter.h"
+#include "estimates/own_zone_share.h"
+#include "estimates/server_latencies.h"
+#include "estimates/zone_health.h"
+#include "policy/records.h"
+#include "policy/tuning.h"
+#include "recovery/list_call_backoff.h"
 #include "recovery/startup.h"
-#include "sight/admission.h"
-#include "sight/halls.h"
-#include "sight/home_share.h"
-#include "sight/key_table.h"
-#include "sight/origin_pace.h"
-#include "sight/paces.h"
-#include "sight/times.h"
 
 namespace beechledge {
 
-using namespace choice;
+using namespace policy;
 
 class Balancer::Core {
  public:
   Core(const Settings& settings, std::uint64_t seed);
   void Handle(Time now, const Event& event, Actions& out);
-  Kept Keep(Time now, std::size_t max_keys) const;
-  void Recall(Time now, const Kept& kept, double confidence);
-  bool Avoids(ServerId id) const;
-  std::size_t Avoided() const;
+  LearnedState ExportState(Time now, std::size_t max_keys) const;
+  void RestoreState(Time now, const LearnedState& state, double confidence);
+  bool IsAvoided(ServerId id) const;
+  std::size_t AvoidedCount() const;
 
  private:
   // ---- Load: the smoothed in-flight count, and this instance's share of reported load ----
@@ -62,7 +62,7 @@
   double RampFraction(const Server& s) const;
   // The rate that a cold server may be sent, relative to that of a warm one.
   double ColdBudget(const Server& s) const {
-    return kColdMargin * settings_.rules.fall_multiple * RampFraction(s);
+    return kColdMargin * settings_.rules.overload_multiple * RampFraction(s);
   }
   void RefillColdTokens(Server& s) const;
   bool HasColdToken(Server& s) const;
@@ -88,7 +88,7 @@
 
   // ---- The LARD choice ----
   bool IsOrigin(const Server& s) const {
-    return settings_.origin == Origin::kAside && settings_.origin_kind >= 0 &&
+    return settings_.origin == Origin::kCacheAside && settings_.origin_kind >= 0 &&
            s.kind == settings_.origin_kind;
   }
   static double CostBalancing(double load);
@@ -149,7 +149,7 @@
   void RebuildUpServers();
   void ScheduleListCall(Duration wait);
   void SubscribeToList();
-  double Uniform() { return Unit(random_()); }
+  double Uniform() { return ToUnitInterval(random_()); }
 
   Settings settings_;
   std::mt19937_64 random_;
@@ -182,10 +182,10 @@
   Smoothed answers_;            // decaying count of answers; divided by kRateTau it is a rate
   OriginLimiter origin_limiter_;
   Startup startup_;
-  ListCalls list_calls_;
+  ListCallBackoff list_calls_;
   bool list_received_ = false, subscribed_ = false, held_timer_set_ = false, watch_timer_set_ = false;
 };
 
 }  // namespace beechledge
 
-#endif  // BEECHLEDGE_CHOICE_CORE_H_
+#endif  // BEECHLEDGE_POLICY_CORE_H_
--- a/src/protocol/door.cpp
+++ b/src/protocol/admin_http.cpp
@@ -1,4 +1,4 @@
-#include "protocol/door.h"
+#include "protocol/admin_http.h"
 
 #include <algorithm>
 #include <cctype>
@@ -14,7 +14,7 @@
   });
 }
 
-Parsed Bad(DoorCall& call, int status, const char* error) {
+Parsed Bad(AdminRequest& call, int status, const char* error) {
   call.status = status;
   call.error = error;
   return Parsed::kBad;
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-Parsed ParseDoorCall(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
-                     DoorCall& call) {
+Parsed ParseAdminRequest(std::string_view in, const AdminRequestLimits& bounds, std::size_t& used,
+                         AdminRequest& call) {
   call = {};
   // Accepts callers that send empty lines first, which RFC 9112 allows a server to skip.
   std::size_t start = 0;
@@ -92,11 +92,11 @@
     const std::size_t colon = field.find(':');
     if (colon == field.npos || !IsToken(field.substr(0, colon))) return Bad(call, 400, "bad header field");
     const std::string_view name = field.substr(0, colon), value = Trim(field.substr(colon + 1));
-    if (SameName(name, "Content-Length")) {
-      const auto stated = WholeNumber(value);
+    if (EqualIgnoringCase(name, "Content-Length")) {
+      const auto stated = ParseUnsigned(value);
       if (!stated || (length && *length != *stated)) return Bad(call, 400, "bad Content-Length");
       length = stated;
-    } else if (SameName(name, "Transfer-Encoding")) {
+    } else if (EqualIgnoringCase(name, "Transfer-Encoding")) {
       return Bad(call, 501, "no transfer coding is taken");
     }
   }
--- a/src/protocol/discovery.cpp
+++ b/src/protocol/discovery.cpp
@@ -23,7 +23,7 @@
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-std::string ReadEntry(const Value& in, const Names& names, ServerEntry& e) {
+std::string ReadEntry(const Value& in, const SettingNames& names, ServerEntry& e) {
   if (!in.IsObject()) return "an entry is not an object";
   e.uid = Text(in, "uid");
   if (e.uid.empty()) return "an entry without uid";
@@ -118,7 +118,7 @@
   ReadJson(json, document);
   ServerEntry entry;
   const bool valid = !document.HasParseError() && ReadEntry(document, names_, entry).empty();
-  if (!valid || ++entries_ > limits_.servers) {
+  if (!valid || ++entries_ > limits_.max_servers) {
     state_ = State::kEnded;
     list_.reset();
     return;
@@ -128,10 +128,10 @@
 
 std::optional<ServerList> ListReader::TakeCompletedEntries() {
   if (!list_ || list_->entries.empty()) return std::nullopt;
-  return ServerList{list_->rev, list_->all, std::exchange(list_->entries, {})};
+  return ServerList{list_->version, list_->is_whole, std::exchange(list_->entries, {})};
 }
 
-std::optional<ServerList> ReadServerList(const Value& in, const Names& names, const Limits& limits,
+std::optional<ServerList> ReadServerList(const Value& in, const SettingNames& names, const Limits& limits,
                                          std::string& why) {
   why.clear();
   if (!in.IsObject()) {
@@ -150,25 +150,25 @@
     why = "all is not true or false";
   } else if (targets == nullptr || !targets->IsArray()) {
     why = "targets is not a list";
-  } else if (targets->Size() > limits.servers) {
+  } else if (targets->Size() > limits.max_servers) {
     why = "too many servers";
   }
   if (!why.empty()) return std::nullopt;
-  list.rev = rev->GetInt64();
-  list.all = all->GetBool();
+  list.version = rev->GetInt64();
+  list.is_whole = all->GetBool();
   std::set<std::string> seen;
   for (const Value& target : targets->GetArray()) {
     ServerEntry entry;
     why = ReadEntry(target, names, entry);
-    if (why.empty() && list.all && !seen.insert(entry.uid).second) why = entry.uid + ": named twice";
+    if (why.empty() && list.is_whole && !seen.insert(entry.uid).second) why = entry.uid + ": named twice";
     if (!why.empty()) return std::nullopt;
     list.entries.push_back(std::move(entry));
   }
   return list;
 }
 
-std::optional<ServerList> ReadServerList(std::string_view json, const Names& names, const Limits& limits,
-                                         std::string& why) {
+std::optional<ServerList> ReadServerList(std::string_view json, const SettingNames& names,
+                                         const Limits& limits, std::string& why) {
   rapidjson::Document document;
   ReadJson(json, document);
   if (document.HasParseError()) {
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -50,19 +50,19 @@
 
   // False: the field makes the answer invalid.
   bool Apply(std::string_view name, std::string_view value) {
-    if (SameName(name, "Content-Length")) return ApplyLength(value);
-    if (SameName(name, "Transfer-Encoding")) {
-      chunked_ = SameName(value, "chunked");
+    if (EqualIgnoringCase(name, "Content-Length")) return ApplyLength(value);
+    if (EqualIgnoringCase(name, "Transfer-Encoding")) {
+      chunked_ = EqualIgnoringCase(value, "chunked");
       return chunked_;  // no other coding was requested, and none can be decoded
     }
-    if (SameName(name, "Connection")) {
+    if (EqualIgnoringCase(name, "Connection")) {
       EachMember(value, [this](std::string_view option) {
-        if (SameName(option, "close")) answer_.keep = false;
-        if (SameName(option, "keep-alive")) answer_.keep = true;
+        if (EqualIgnoringCase(option, "close")) answer_.keep_alive = false;
+        if (EqualIgnoringCase(option, "keep-alive")) answer_.keep_alive = true;
       });
-    } else if (SameName(name, "X-Turned-Away")) {
+    } else if (EqualIgnoringCase(name, "X-Turned-Away")) {
       answer_.turned_away = value == "1";
-    } else if (SameName(name, "X-Pressure")) {
+    } else if (EqualIgnoringCase(name, "X-Pressure")) {
       answer_.pressure = value;
     }
     return true;
@@ -81,7 +81,7 @@
   bool ApplyLength(std::string_view value) {
     bool valid = !value.empty();
     EachMember(value, [&](std::string_view member) {
-      const auto stated = WholeNumber(member);
+      const auto stated = ParseUnsigned(member);
       if (!stated || (length_ && *length_ != *stated)) valid = false;
       length_ = stated;
     });
@@ -97,12 +97,12 @@
 Parsed ParseOneHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
                     HttpHead& framing) {
   answer = {};
-  const std::size_t head_end = in.substr(0, limits.http_head + 4).find("\r\n\r\n");
-  if (head_end == in.npos) return in.size() >= limits.http_head + 4 ? Parsed::kBad : Parsed::kMore;
+  const std::size_t head_end = in.substr(0, limits.max_http_head + 4).find("\r\n\r\n");
+  if (head_end == in.npos) return in.size() >= limits.max_http_head + 4 ? Parsed::kBad : Parsed::kMore;
   std::string_view head = in.substr(0, head_end);
   if (!head.starts_with("HTTP/1.") || head.size() < 12 || head[8] != ' ') return Parsed::kBad;
-  answer.keep = head[7] != '0';
-  const auto status = WholeNumber(head.substr(9, 3));
+  answer.keep_alive = head[7] != '0';
+  const auto status = ParseUnsigned(head.substr(9, 3));
   if (!status || *status < 100 || *status > 599) return Parsed::kBad;
   answer.status = static_cast<int>(*status);
   HeaderFields fields(answer);
@@ -121,11 +121,11 @@
 }
 
 // Parses the head of the final answer. Interim answers (1xx) may precede it and are skipped, but at most
-// Limits::interim of them. Status 101 is invalid: the router never requests another protocol.
+// Limits::max_interim_answers of them. Status 101 is invalid: the router never requests another protocol.
 Parsed ParseFinalHead(std::string_view in, const Limits& limits, std::size_t& used, HttpAnswer& answer,
                       HttpHead& framing) {
   std::size_t at = 0;
-  for (std::size_t n = 0; n <= limits.interim; ++n) {
+  for (std::size_t n = 0; n <= limits.max_interim_answers; ++n) {
     std::size_t taken = 0;
     const Parsed got = ParseOneHead(in.substr(at), limits, taken, answer, framing);
     if (got != Parsed::kDone) return got;
@@ -205,7 +205,7 @@
       state_ = body_left_ > max_body_ ? State::kBad : body_left_ == 0 ? State::kDone : State::kLength;
       return;
     case HttpBodyEnd::kClose:
-      answer_.keep = false;
+      answer_.keep_alive = false;
       state_ = State::kClose;
   }
 }
@@ -255,7 +255,7 @@
 }
 
 void HttpAnswerReader::StartChunk(std::string_view size_line) {
-  const auto length = WholeNumber(Trim(size_line.substr(0, size_line.find(';'))), 16);
+  const auto length = ParseUnsigned(Trim(size_line.substr(0, size_line.find(';'))), 16);
   if (!length || *length > max_body_ - answer_.body.size()) {
     state_ = State::kBad;
     return;
@@ -304,22 +304,22 @@
   return out;
 }
 
-AttemptEnd ReadOriginAnswer(HttpAnswer answer, const RequestContent& request) {
-  AttemptEnd end = ReadOriginProbe(answer);
+AttemptResult ReadOriginAnswer(HttpAnswer answer, const RequestContent& request) {
+  AttemptResult end = ReadOriginProbe(answer);
   if (end.result != Result::kOk) return end;
   // A receipt is sent to the client as one word of a line: anything else would break that line.
   if (request.write && (!IsWord(answer.body) || answer.body.size() > 1024)) {
-    end.result = Result::kSpoilt;
+    end.result = Result::kMalformed;
   } else {
     end.body = std::move(answer.body);
   }
   return end;
 }
 
-AttemptEnd ReadOriginProbe(const HttpAnswer& answer) {
-  AttemptEnd end;
+AttemptResult ReadOriginProbe(const HttpAnswer& answer) {
+  AttemptResult end;
   const bool not_run = (answer.status == 503 || answer.status == 504) && answer.turned_away;
-  end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kFull : Result::kError;
+  end.result = answer.status == 200 ? Result::kOk : not_run ? Result::kRejected : Result::kError;
   std::string_view rest = answer.pressure;
   while (!rest.empty()) {
     const std::size_t cut = rest.find(',');
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -10,14 +10,14 @@
 #include <utility>
 
 #include "config/limits.h"
-#include "core/ends.h"
+#include "core/interfaces.h"
 #include "protocol/parse.h"
 
 namespace brasswood {
 
 struct HttpAnswer {
   int status = 0;
-  bool keep = true;          // the connection may be reused
+  bool keep_alive = true;    // the connection may be reused
   bool turned_away = false;  // X-Turned-Away: 1
   std::string pressure;      // X-Pressure
   std::string body;
@@ -100,8 +100,8 @@
 std::string WriteOriginAttempt(std::string_view host, const RequestContent& request, Duration left);
 
 // The outcome of an attempt, or of a probe, by the origin's answer to it.
-AttemptEnd ReadOriginAnswer(HttpAnswer answer, const RequestContent& request);
-AttemptEnd ReadOriginProbe(const HttpAnswer& answer);
+AttemptResult ReadOriginAnswer(HttpAnswer answer, const RequestContent& request);
+AttemptResult ReadOriginProbe(const HttpAnswer& answer);
 
 }  // namespace brasswood
 
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -60,7 +60,7 @@
 }
 
 void CheckKey(const Limits& limits, Command& c) {
-  if (!IsWord(c.content.key) || c.content.key.size() > limits.key) c.error = "bad key";
+  if (!IsWord(c.content.key) || c.content.key.size() > limits.max_key) c.error = "bad key";
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
 Parsed ParseCommand(std::string_view in, const Limits& limits, std::size_t& used, Command& c) {
   c = {};
   std::string_view line;
-  const Parsed got = ParseLine(in, limits.line, line, used);
+  const Parsed got = ParseLine(in, limits.max_line, line, used);
   if (got == Parsed::kBad) c.error = "line too long";
   if (got != Parsed::kDone) return got;
   std::string_view rest = line;
@@ -84,8 +84,9 @@
     c.verb = Verb::kRequest;
     c.content.write = true;
     c.content.key = NextWord(rest);
-    const auto length = WholeNumber(NextWord(rest));
-    if (!length || *length > limits.value) {  // where the next command begins is unknown, or too far away
+    const auto length = ParseUnsigned(NextWord(rest));
+    if (!length ||
+        *length > limits.max_value) {  // where the next command begins is unknown, or too far away
       c.error = length ? "value too large" : "bad length";
       return Parsed::kBad;
     }
@@ -102,10 +103,10 @@
 // Guards against executing a request that its client cannot have meant. A server would refuse such a
 // command or close the connection, which would look like a fault of the server and use up attempts of other
 // requests.
-std::string BuildRequest(RequestContent content, const Names& names, const Limits& limits,
+std::string BuildRequest(RequestContent content, const SettingNames& names, const Limits& limits,
                          NewRequest& request) {
   request = {};
-  request.wait = limits.default_wait;
+  request.wait = limits.default_deadline;
   std::string error;
   std::vector<std::pair<std::string_view, std::string_view>> seen;
   EachLabel(content.labels, [&](std::string_view name, std::string_view value) {
@@ -123,9 +124,9 @@
     if (name == "size")
       request.size_hint = ParseNumber(value);  // only a hint: without it the request is still executed
     if (name == "d") {
-      const auto ms = WholeNumber(value);
+      const auto ms = ParseUnsigned(value);
       const auto max_ms =
-          std::chrono::duration_cast<std::chrono::milliseconds>(limits.longest_wait).count();
+          std::chrono::duration_cast<std::chrono::milliseconds>(limits.max_deadline).count();
       if (!ms) error = "bad deadline";
       request.wait = std::chrono::milliseconds(
           std::min<std::uint64_t>(ms.value_or(0), static_cast<std::uint64_t>(max_ms)));
@@ -174,17 +175,17 @@
 
 // `max_value`: the length of the largest value accepted; `head_only`: stop after a VA line.
 Parsed ParseReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                  std::size_t max_value, bool head_only, std::size_t& used, AttemptEnd& end,
+                  std::size_t max_value, bool head_only, std::size_t& used, AttemptResult& end,
                   std::optional<std::uint64_t>& value) {
   end = {};
   value.reset();
   std::string_view rest;
-  const Parsed got = ParseLine(in, limits.line, rest, used);
+  const Parsed got = ParseLine(in, limits.max_line, rest, used);
   if (got != Parsed::kDone) return got;
   const std::string_view head = NextWord(rest);
   if (head == "SERVER_ERROR") {
     if (rest == "busy" || rest.starts_with("busy ")) {
-      end.result = Result::kFull;
+      end.result = Result::kRejected;
     } else {
       end.result = Result::kError;
     }
@@ -192,7 +193,7 @@
   }
   std::optional<std::uint64_t> length;
   if (head == "VA") {
-    length = WholeNumber(NextWord(rest));
+    length = ParseUnsigned(NextWord(rest));
     if (!length || *length > max_value) return Parsed::kBad;
   } else if (head != "HD" && head != "EN") {
     return Parsed::kBad;
@@ -227,14 +228,14 @@
 }  // namespace
 
 Parsed ParseAttemptReply(std::string_view in, const RequestContent& request, const Limits& limits,
-                         std::size_t& used, AttemptEnd& end) {
+                         std::size_t& used, AttemptResult& end) {
   std::optional<std::uint64_t> unused;
-  return ParseReply(in, request, limits, limits.value, false, used, end, unused);
+  return ParseReply(in, request, limits, limits.max_value, false, used, end, unused);
 }
 
 Parsed ParseAttemptHead(std::string_view in, const RequestContent& request, const Limits& limits,
-                        std::size_t& used, AttemptEnd& end, std::optional<std::uint64_t>& length) {
-  return ParseReply(in, request, limits, limits.stream_most, true, used, end, length);
+                        std::size_t& used, AttemptResult& end, std::optional<std::uint64_t>& length) {
+  return ParseReply(in, request, limits, limits.max_streamed_value, true, used, end, length);
 }
 
 void SetReportField(beechledge::LoadReport& r, std::string_view name, double value) {
@@ -247,21 +248,21 @@
 }
 
 Parsed ParseProbeReply(std::string_view in, bool load, const Limits& limits, std::size_t& used,
-                       AttemptEnd& end) {
+                       AttemptResult& end) {
   end = {};
   std::string_view line;
   std::size_t at = 0, n = 0;
-  const Parsed got = ParseLine(in, limits.line, line, at);
+  const Parsed got = ParseLine(in, limits.max_line, line, at);
   used = at;
   if (got != Parsed::kDone) return got;
   if (line.starts_with("SERVER_ERROR")) {
-    end.result = line.find("busy") == line.npos ? Result::kError : Result::kFull;
+    end.result = line.find("busy") == line.npos ? Result::kError : Result::kRejected;
     return Parsed::kDone;
   }
   end.result = Result::kOk;
   if (!load) return line == "MN" ? Parsed::kDone : Parsed::kBad;
-  for (at = 0; at <= limits.line; at += n) {
-    const Parsed next = ParseLine(in.substr(at), limits.line, line, n);
+  for (at = 0; at <= limits.max_line; at += n) {
+    const Parsed next = ParseLine(in.substr(at), limits.max_line, line, n);
     if (next != Parsed::kDone) return next;
     used = at + n;
     if (line == "END") return Parsed::kDone;
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using beechledge::Availability;
-using beechledge::Kept;
+using beechledge::LearnedState;
 using Value = rapidjson::Value;
 
 unsigned long Checksum(std::string_view text) {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string Encode(const Snapshot& s) {
+std::string EncodeSnapshot(const Snapshot& s) {
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> w(text);
   const auto str = [&](const std::string& v) {
@@ -62,8 +62,8 @@
   };
   w.StartObject();
   w.Key("router"), str(s.router);
-  w.Key("taken"), w.Int64(s.taken.count());
-  w.Key("rev"), w.Int64(s.list.rev);
+  w.Key("taken"), w.Int64(s.taken_at.count());
+  w.Key("rev"), w.Int64(s.list.version);
   w.Key("list"), w.StartArray();
   for (const ServerEntry& e : s.list.entries) {
     w.StartArray();
@@ -77,17 +77,19 @@
   for (const std::string& uid : s.suspended) str(uid);
   w.EndArray();
   w.Key("servers"), w.StartArray();
-  for (const Kept::Server& k : s.learnt.servers) {
+  for (const LearnedState::Server& k : s.module_state.servers) {
     w.StartArray();
-    w.Uint(k.id), w.Double(k.looks), w.Double(k.log_time), w.Double(k.log_weight), w.Int64(k.avoid.count());
+    w.Uint(k.id), w.Double(k.samples), w.Double(k.log_latency), w.Double(k.log_weight),
+        w.Int64(k.ejection_left.count());
     w.EndArray();
   }
   w.EndArray();
   w.Key("origin"), w.StartArray();
-  w.Double(s.learnt.origin.limit), w.Double(s.learnt.origin.base), w.Double(s.learnt.origin.usual);
+  w.Double(s.module_state.origin.max_fetches), w.Double(s.module_state.origin.base_seconds),
+      w.Double(s.module_state.origin.usual_seconds);
   w.EndArray();
   w.Key("keys"), w.StartArray();
-  for (const Kept::Key& k : s.learnt.keys) {
+  for (const LearnedState::Key& k : s.module_state.keys) {
     w.StartArray();
     w.Uint64(k.key);
     for (const beechledge::ServerId id : k.holders) w.Uint(id);
@@ -126,8 +128,8 @@
   Snapshot s;
   bool ok = true;
   s.router = d["router"].GetString();
-  s.taken = Time(d["taken"].GetInt64());
-  s.list.rev = d["rev"].GetInt64();
+  s.taken_at = Time(d["taken"].GetInt64());
+  s.list.version = d["rev"].GetInt64();
   for (const Value& v : d["list"].GetArray()) {
     Row r{v, ok};
     ServerEntry e;
@@ -150,32 +152,32 @@
   }
   for (const Value& v : d["servers"].GetArray()) {
     Row r{v, ok};
-    Kept::Server k;
+    LearnedState::Server k;
     k.id = static_cast<beechledge::ServerId>(r.Integer(0));
-    k.looks = r.Number(1);
-    k.log_time = r.Number(2);
+    k.samples = r.Number(1);
+    k.log_latency = r.Number(2);
     k.log_weight = r.Number(3);
-    k.avoid = Duration(r.Integer(4));
+    k.ejection_left = Duration(r.Integer(4));
     ok = ok && k.id < servers;
-    s.learnt.servers.push_back(k);
+    s.module_state.servers.push_back(k);
   }
   Row origin{d["origin"], ok};
-  s.learnt.origin = {origin.Number(0), origin.Number(1), origin.Number(2)};
+  s.module_state.origin = {origin.Number(0), origin.Number(1), origin.Number(2)};
   for (const Value& v : d["keys"].GetArray()) {
     if (!v.IsArray() || v.Empty() || !v[0].IsUint64()) ok = false;
     if (!ok) break;
-    Kept::Key k{v[0].GetUint64(), {}};
+    LearnedState::Key k{v[0].GetUint64(), {}};
     for (rapidjson::SizeType i = 1; i < v.Size(); ++i) {
       ok = ok && v[i].IsUint() && v[i].GetUint() < servers;
       if (ok) k.holders.push_back(v[i].GetUint());
     }
-    s.learnt.keys.push_back(std::move(k));
+    s.module_state.keys.push_back(std::move(k));
   }
   if (!ok) return refuse("invalid content");
   return s;
 }
 
-double Faith(Duration age, Duration half_life, Duration max_age) {
+double SnapshotConfidence(Duration age, Duration half_life, Duration max_age) {
   if (age < Duration(0) || age > max_age) return 0;
   return std::exp2(-std::chrono::duration<double>(age).count() /
                    std::chrono::duration<double>(half_life).count());
--- a/src/state/keeper.cpp
+++ b/src/state/snapshot_keeper.cpp
@@ -1,4 +1,4 @@
-#include "state/keeper.h"
+#include "state/snapshot_keeper.h"
 
 #include <rapidjson/document.h>
 
@@ -11,7 +11,7 @@
 
 #include "base/log.h"
 #include "config/json.h"
-#include "state/whole_file.h"
+#include "state/atomic_file.h"
 
 namespace brasswood {
 namespace {
@@ -27,7 +27,7 @@
   FoundSnapshot found;
   for (const std::string& name : {path, path + ".1"}) {
     std::string why;
-    const auto text = ReadWhole(name, kMostSnapshot, why);
+    const auto text = ReadFile(name, kMaxSnapshotBytes, why);
     if (text) found.snapshot = DecodeSnapshot(*text, why);
     if (found.snapshot && found.snapshot->router != router) {
       found.snapshot.reset();
@@ -62,15 +62,15 @@
     if (key == "folder" && m.value.IsString()) {
       s.folder = m.value.GetString();
     } else if (key == "every_ms") {
-      s.every = span(number(m.value, key, 100, 3600000));
+      s.interval = span(number(m.value, key, 100, 3600000));
     } else if (key == "keys") {
-      s.keys = static_cast<std::size_t>(number(m.value, key, 0, 65536));
+      s.max_keys = static_cast<std::size_t>(number(m.value, key, 0, 65536));
     } else if (key == "half_ms") {
-      s.half = span(number(m.value, key, 1, 86400000));
+      s.half_life = span(number(m.value, key, 1, 86400000));
     } else if (key == "most_ms") {
-      s.most = span(number(m.value, key, 1, 7 * 86400000.0));
+      s.max_age = span(number(m.value, key, 1, 7 * 86400000.0));
     } else if (key == "old_ms") {
-      s.old = span(number(m.value, key, 0, 86400000));
+      s.old_list_age = span(number(m.value, key, 0, 86400000));
     } else {
       throw bad("\"" + key + "\" is unknown or has the wrong type");
     }
@@ -87,66 +87,66 @@
   return ReadStateSettings(std::string(std::istreambuf_iterator<char>(in), {}));
 }
 
-Keeper::Keeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
-               std::function<Time()> now)
+SnapshotKeeper::SnapshotKeeper(StateSettings settings, std::string router, Engine& engine,
+                               Deadlines& deadlines, std::function<Time()> now)
     : settings_(std::move(settings)),
       router_(std::move(router)),
       engine_(engine),
       deadlines_(deadlines),
       now_(std::move(now)) {}
 
-std::optional<Snapshot> Keeper::Read() {
+std::optional<Snapshot> SnapshotKeeper::Load() {
   auto found = std::make_shared<std::optional<FoundSnapshot>>();
-  disk_.Put("read", [found, path = Path(), router = router_]() -> DiskThread::Call {
+  disk_.Submit("read", [found, path = Path(), router = router_]() -> DiskThread::Completion {
     auto here = std::make_shared<FoundSnapshot>(FindSnapshot(path, router));
     return [found, here] { *found = std::move(*here); };
   });
-  if (!disk_.Await([&] { return found->has_value(); }, kReadTimeout)) {
+  if (!disk_.WaitUntil([&] { return found->has_value(); }, kReadTimeout)) {
     LogLine(Level::kWarn) << "kept state not read: the disk does not answer";
     return std::nullopt;
   }
   FoundSnapshot& f = **found;
   if (!f.why.empty()) LogLine(Level::kWarn) << "kept state left aside: " << f.why;
   if (!f.snapshot) return std::nullopt;
-  const Duration age = now_() - f.snapshot->taken;
-  if (Faith(age, settings_.half, settings_.most) <= 0) {
+  const Duration age = now_() - f.snapshot->taken_at;
+  if (SnapshotConfidence(age, settings_.half_life, settings_.max_age) <= 0) {
     LogLine(Level::kWarn) << "kept state left aside: "
                           << (age < Duration(0) ? "taken in the future" : "too old");
     // Suspensions do not expire: only an operator can end one.
     f.snapshot->list = {};
-    f.snapshot->learnt = {};
+    f.snapshot->module_state = {};
   }
   LogLine(Level::kInfo) << "kept state of "
                         << std::chrono::duration_cast<std::chrono::milliseconds>(age).count()
                         << " ms ago: " << f.snapshot->list.entries.size() << " servers, "
-                        << f.snapshot->learnt.keys.size() << " keys, " << f.snapshot->suspended.size()
+                        << f.snapshot->module_state.keys.size() << " keys, " << f.snapshot->suspended.size()
                         << " suspended";
   return std::move(f.snapshot);
 }
 
-void Keeper::Begin() {
-  deadlines_.Set(now_() + settings_.every, [this] { Tick(); });
+void SnapshotKeeper::Start() {
+  deadlines_.Set(now_() + settings_.interval, [this] { Tick(); });
 }
 
-void Keeper::Tick() {
-  Begin();
-  disk_.Deliver();
-  if (!disk_.Has("snapshot")) return Take();
+void SnapshotKeeper::Tick() {
+  Start();
+  disk_.RunCompletions();
+  if (!disk_.IsPending("snapshot")) return Save();
   if (!std::exchange(failure_logged_, true)) {
     LogLine(Level::kWarn) << "state not kept: the disk does not answer";
   }
 }
 
-void Keeper::Take() {
+void SnapshotKeeper::Save() {
   if (!engine_.confirmed()) return;
-  auto snapshot = std::make_shared<Snapshot>(engine_.Keep(settings_.keys));
+  auto snapshot = std::make_shared<Snapshot>(engine_.ExportSnapshot(settings_.max_keys));
   snapshot->router = router_;
-  snapshot->taken = now_();
+  snapshot->taken_at = now_();
   // Encoding is done on the disk thread too.
-  disk_.Put("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Call {
+  disk_.Submit("snapshot", [this, snapshot, path = Path()]() -> DiskThread::Completion {
     std::string why;
     std::rename(path.c_str(), (path + ".1").c_str());  // fails if there is none yet
-    const bool ok = WriteWhole(path, Encode(*snapshot), why);
+    const bool ok = WriteFileAtomically(path, EncodeSnapshot(*snapshot), why);
     // Logged once when writing starts to fail, and once when it works again.
     return [this, ok, why] {
       if (ok && std::exchange(failure_logged_, false)) LogLine(Level::kInfo) << "state is kept again";
--- a/src/state/keeper.h
+++ b/src/state/snapshot_keeper.h
@@ -1,8 +1,8 @@
 // Persists a router's state: writes a snapshot every few seconds and at shutdown, on the disk thread and in
 // two generations, and reads one at the start. Used only by installations with a local disk:
 // $BRASSWOOD_STATE names the settings file, which says where. deploy/state.json is an example.
-#ifndef BRASSWOOD_STATE_KEEPER_H_
-#define BRASSWOOD_STATE_KEEPER_H_
+#ifndef BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
+#define BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
 
 #include <functional>
 #include <memory>
@@ -19,11 +19,11 @@
 
 struct StateSettings {
   std::string folder;  // must exist
-  Duration every{std::chrono::seconds(5)};
-  std::size_t keys = 8192;                 // stored at most, the most recently used ones
-  Duration half{std::chrono::minutes(5)};  // half-life of the confidence in what was learnt
-  Duration most{std::chrono::hours(1)};    // of an older snapshot only the suspensions are used
-  Duration old{std::chrono::seconds(30)};  // servers of an older list may have been replaced
+  Duration interval{std::chrono::seconds(5)};
+  std::size_t max_keys = 8192;                      // stored at most, the most recently used ones
+  Duration half_life{std::chrono::minutes(5)};      // half-life of the confidence in what was learnt
+  Duration max_age{std::chrono::hours(1)};          // of an older snapshot only the suspensions are used
+  Duration old_list_age{std::chrono::seconds(30)};  // servers of an older list may have been replaced
 };
 
 // Parses the text of the settings file. Throws std::runtime_error with a message of one line.
@@ -31,21 +31,21 @@
 // Reads the file that $BRASSWOOD_STATE names. Returns nothing if the variable is not set.
 std::optional<StateSettings> LoadStateSettings();
 
-class Keeper {
+class SnapshotKeeper {
  public:
-  // `router`: the router's name. The references must outlive the keeper.
-  Keeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
-         std::function<Time()> now);
+  // `router`: the router's name. The references must outlive this object.
+  SnapshotKeeper(StateSettings settings, std::string router, Engine& engine, Deadlines& deadlines,
+                 std::function<Time()> now);
 
   // Reads the newest valid snapshot of this router out of two generations, if there is one. Blocks for the
   // disk, half a second at most, and logs the result.
-  std::optional<Snapshot> Read();
+  std::optional<Snapshot> Load();
   const StateSettings& settings() const { return settings_; }
-  // Writes a snapshot each `every` from now on, once discovery has confirmed the list, so that a process
+  // Writes a snapshot each `interval` from now on, once discovery has confirmed the list, so that a process
   // that knows less does not overwrite the earlier snapshot.
-  void Begin();
+  void Start();
   // Writes a snapshot now.
-  void Take();
+  void Save();
 
  private:
   void Tick();
@@ -62,4 +62,4 @@
 
 }  // namespace brasswood
 
-#endif  // BRASSWOOD_STATE_KEEPER_H_
+#endif  // BRASSWOOD_STATE_SNAPSHOT_KEEPER_H_
--- a/tests/net/core_test.cpp
+++ b/tests/net/core_test.cpp
@@ -43,10 +43,10 @@
   });
   deadlines.Set(1s, [&] { ran += 'b'; });
   Deadlines::Id dropped = deadlines.Set(1s, [&] { ran += '!'; });
-  deadlines.Drop(dropped);
-  deadlines.Run(1s);
+  deadlines.Cancel(dropped);
+  deadlines.RunDue(1s);
   CHECK(ran == "ab");
-  deadlines.Run(2s);
+  deadlines.RunDue(2s);
   CHECK(ran == "abxc");
   CHECK_FALSE(deadlines.Next());
 }
@@ -54,10 +54,10 @@
 TEST_CASE("an event found by a poll arrived between the return of the previous poll and its own") {
   PollTimes polls;
   const auto turn = [&polls](Time entered, Time returned, std::optional<Time> due = std::nullopt) {
-    polls.Entered(entered, due);
-    polls.Returned(returned);
-    polls.Returned(returned + 1h);  // a later callback of the same iteration
-    return polls.Arrived();
+    polls.PollStarted(entered, due);
+    polls.PollReturned(returned);
+    polls.PollReturned(returned + 1h);  // a later callback of the same iteration
+    return polls.EarliestArrival();
   };
   CHECK(turn(10s, 12s) == 12s);               // the poll waited: the event is new
   CHECK(turn(12150ms, 12150ms) == 12s);       // the previous iteration took 150 ms: at any time in it
@@ -65,24 +65,24 @@
   CHECK(turn(13s, 14s, 14s) == 14s);          // the poll ended at the deadline
   CHECK(turn(15s, 16s, 15500ms) == 15500ms);  // the poll ended after the deadline: the process was paused
   CHECK(turn(17s, 17200ms, 16900ms) == 17s);  // but no event was pending when the poll began
-  polls.Entered(18s, std::nullopt);           // an iteration without callbacks
+  polls.PollStarted(18s, std::nullopt);       // an iteration without callbacks
   CHECK(turn(18100ms, 18100ms) == 18s);
 }
 
 namespace {
 
-struct FakeEnds : Front, Back, Watch {
+struct FakeEnds : FrontEnd, BackEnd, DiscoverySource {
   void Deliver(std::uint64_t ticket, const Answer& answer) override {
     answers[ticket].push_back(answer.kind);
   }
-  void Open(std::uint64_t ticket, std::size_t length) override { opened[ticket] = length; }
-  void Piece(std::uint64_t ticket, std::string_view bytes) override { pieces[ticket].append(bytes); }
-  bool Present(std::uint64_t ticket) const override { return !gone.contains(ticket); }
-  std::size_t Backlog(std::uint64_t ticket) const override { return pieces.contains(ticket) ? 1 : 0; }
+  void StartStream(std::uint64_t ticket, std::size_t length) override { opened[ticket] = length; }
+  void SendChunk(std::uint64_t ticket, std::string_view bytes) override { pieces[ticket].append(bytes); }
+  bool IsConnected(std::uint64_t ticket) const override { return !gone.contains(ticket); }
+  std::size_t BufferedBytes(std::uint64_t ticket) const override { return pieces.contains(ticket) ? 1 : 0; }
   void Start(AttemptId attempt, ServerId to, std::shared_ptr<const RequestContent>, Time,
              Time by) override {
     attempts.push_back({attempt, to});
-    sent_by.push_back(by);
+    send_deadlines.push_back(by);
     if (fail_at_once) engine->AttemptEnded(attempt, {Result::kConnectFailed, {}, {}, {}});
   }
   void Probe(AttemptId, ServerId, bool) override {}
@@ -92,8 +92,8 @@
   }
   void CloseIdle(ServerId) override {}
   void Forget(ServerId server) override { forgotten.push_back(server); }
-  void Follow(bool) override {}
-  void FetchAll() override {}
+  void SetWatching(bool) override {}
+  void RequestWholeList() override {}
 
   Engine* engine = nullptr;
   std::set<std::uint64_t> gone;
@@ -102,7 +102,7 @@
   std::map<std::uint64_t, std::size_t> opened;
   std::map<std::uint64_t, std::string> pieces;
   std::vector<std::pair<AttemptId, ServerId>> attempts;
-  std::vector<Time> sent_by;
+  std::vector<Time> send_deadlines;
   std::vector<AttemptId> abandoned;
   std::vector<ServerId> forgotten;
 };
@@ -122,46 +122,46 @@
     settings.allowed.cancel = true;
     settings.rules.drain_grace = 1s;
     limits.max_attempts = 3;
-    limits.requests = 4;
+    limits.max_requests = 4;
     engine.emplace(
         settings, 1, limits, [this] { return now += tick; }, deadlines, counters);
     ends.engine = &*engine;
     engine->Attach(ends, ends, ends);
     ServerList list;
-    list.rev = 1;
+    list.version = 1;
     for (const char* uid : {"s1", "s2"}) {
       ServerEntry e;
       e.uid = uid;
       e.endpoint = "127.0.0.1:1";
       list.entries.push_back(e);
     }
-    engine->Remember(list);
+    engine->SetInitialList(list);
   }
   ListOrigin Origin() const {
     ListOrigin origin;
     origin.since = engine->directory().held();
-    origin.begun = origin.arrived = origin.told = now;
+    origin.requested_at = origin.received_at = origin.notified_at = now;
     return origin;
   }
   // A list from discovery. Its version is the next one unless the list states one.
   void Receive(ServerList list) {
-    if (list.rev < 0) list.rev = engine->directory().held().value_or(0) + 1;
-    engine->Told(list, Origin());
+    if (list.version < 0) list.version = engine->directory().held().value_or(0) + 1;
+    engine->ListReceived(list, Origin());
   }
   bool MaySendFirstByte(AttemptId attempt, const std::string& endpoint) const {
-    return engine->JudgeFirstByte(attempt, endpoint) == SendVerdict::kAllowed;
+    return engine->EvaluateFirstByte(attempt, endpoint) == SendVerdict::kAllowed;
   }
   RequestId Take(std::uint64_t ticket, int request_class = 0, const std::string& key = "k") {
     NewRequest request;
     request.content = std::make_shared<const RequestContent>(RequestContent{"i", key, "", "", false});
     request.request_class = request_class;
     request.wait = 900ms;
-    return engine->Take(ends, ticket, request);
+    return engine->AcceptRequest(ends, ticket, request);
   }
   void AdvanceTo(Time t) {
     while (deadlines.Next() && *deadlines.Next() <= t) {
       now = std::max(now, *deadlines.Next());
-      deadlines.Run(now);
+      deadlines.RunDue(now);
     }
     now = std::max(now, t);
   }
@@ -249,7 +249,7 @@
   w.AdvanceTo(102s);
   CHECK(w.ends.answers[7].size() == 1);
   CHECK(w.ends.attempts.size() == 1);
-  CHECK(w.counters.attempts_ended[static_cast<std::size_t>(Result::kMoot)] == 0);
+  CHECK(w.counters.attempts_ended[static_cast<std::size_t>(Result::kObsolete)] == 0);
 }
 
 TEST_CASE("requests over the limit are not accepted") {
@@ -262,18 +262,18 @@
 TEST_CASE("a request's id is in use while the request is open, and free afterwards") {
   Fixture w;
   w.Take(7);
-  CHECK(w.engine->Holds("i"));
+  CHECK(w.engine->HasRequest("i"));
   w.engine->AttemptEnded(w.ends.attempts[0].first, {Result::kOk, {}, {}, "v"});
-  CHECK_FALSE(w.engine->Holds("i"));
+  CHECK_FALSE(w.engine->HasRequest("i"));
   const RequestId request = w.Take(8);
   w.engine->ClientGone(request);
-  CHECK_FALSE(w.engine->Holds("i"));
+  CHECK_FALSE(w.engine->HasRequest("i"));
 }
 
 // Guards against tables that only grow while servers are replaced all day.
 TEST_CASE("removed servers are forgotten and their ids reused, except those still referred to") {
   Fixture w;
-  w.limits.forget = 50ms;
+  w.limits.forget_removed_after = 50ms;
   w.Take(7);  // sent to one of the two servers, and not answered
   const ServerId asked = w.ends.attempts[0].second;
   for (int n = 0; n < 100; ++n) {  // each list contains only one new server
@@ -294,7 +294,7 @@
   w.Take(7);
   const auto [there, asked] = w.ends.attempts[0];
   ServerList changes;
-  changes.all = false;
+  changes.is_whole = false;
   changes.entries.push_back(
       {asked == 0 ? "s1" : "s2", "127.0.0.1:1", 0, 0, 0, Availability::kDraining, 1, 0s});
   w.Receive(changes);
@@ -319,20 +319,20 @@
   const auto [there, asked] = w.ends.attempts[0];
   const std::string drains = asked == 0 ? "s1" : "s2", stays = asked == 0 ? "s2" : "s1";
   ServerList part;
-  part.rev = 9;
-  part.all = true;
+  part.version = 9;
+  part.is_whole = true;
   part.entries.push_back({drains, "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
   part.entries.push_back({stays, "127.0.0.1:9", 0, 0, 0, Availability::kUp, 1, 0s});
   part.entries.push_back({"unknown", "127.0.0.1:9", 0, 0, 0, Availability::kDraining, 1, 0s});
-  w.engine->ToldInPart(part, w.Origin());
+  w.engine->PartialListReceived(part, w.Origin());
   CHECK_FALSE(w.MaySendFirstByte(there, "127.0.0.1:1"));
   CHECK(w.engine->FindServer(asked)->availability == Availability::kDraining);
   CHECK(w.engine->FindServer(1 - asked)->endpoint == "127.0.0.1:1");
   CHECK(w.engine->FindServer(2) == nullptr);
-  CHECK(w.engine->Keep(0).list.rev != 9);
+  CHECK(w.engine->ExportSnapshot(0).list.version != 9);
   ServerList back;  // the complete answer lists it in service again
-  back.rev = 10;
-  back.all = false;
+  back.version = 10;
+  back.is_whole = false;
   back.entries.push_back({drains, "127.0.0.1:1", 0, 0, 0, Availability::kUp, 1, 0s});
   w.Receive(back);
   CHECK(w.engine->FindServer(asked)->availability == Availability::kUp);
@@ -344,8 +344,8 @@
   const AttemptId attempt = w.ends.attempts.back().first;
   CHECK(w.MaySendFirstByte(attempt, "127.0.0.1:1"));
   w.ends.gone.insert(1);
-  CHECK(w.engine->JudgeFirstByte(attempt, "127.0.0.1:1") == SendVerdict::kClientGone);
-  w.engine->HeldBack(attempt, SendVerdict::kClientGone);
+  CHECK(w.engine->EvaluateFirstByte(attempt, "127.0.0.1:1") == SendVerdict::kClientGone);
+  w.engine->AttemptHeldBack(attempt, SendVerdict::kClientGone);
   CHECK(w.engine->open_requests() == 0);
   CHECK(w.ends.attempts.size() == 1);  // and is not retried elsewhere
 }
@@ -370,11 +370,11 @@
   };
   const Case cases[] = {
       {Invariant::kCount, [](Fixture&, AttemptId) {}},  // none
-      {Invariant::kSentInTime, [](Fixture& w, AttemptId) { w.now += 900ms + Invariants::kMostHeldUp; }},
-      {Invariant::kSentToServing,
+      {Invariant::kSentInTime, [](Fixture& w, AttemptId) { w.now += 900ms + Invariants::kMaxSendDelay; }},
+      {Invariant::kSentToServingServer,
        [](Fixture& w, AttemptId) {
          ServerList gone;
-         gone.rev = 9;
+         gone.version = 9;
          w.Receive(gone);
          w.now += 1s;
        }},
@@ -384,7 +384,7 @@
     w.Take(1);
     const AttemptId attempt = w.ends.attempts.back().first;
     c.before(w, attempt);
-    w.engine->AttemptLeft(attempt);
+    w.engine->AttemptSent(attempt);
     const Invariants& counted = w.counters.invariants;
     CHECK((counted.violations() == 0) == (c.broken == Invariant::kCount));
     if (c.broken != Invariant::kCount) CHECK(counted.violations(c.broken) == 1);
@@ -394,7 +394,7 @@
 // Guards against checking the window before a connection is made: it may end while the connection is being
 // established.
 TEST_CASE("no first byte of a keyed repeat is sent once its window is over") {
-  for (const Result first : {Result::kReset, Result::kFull}) {
+  for (const Result first : {Result::kReset, Result::kRejected}) {
     Fixture w(200ms);
     w.Take(7, 2);
     REQUIRE(w.ends.attempts.size() == 1);
@@ -403,12 +403,12 @@
     w.engine->AttemptEnded(one, {first, {}, {}, {}});
     REQUIRE(w.ends.attempts.size() == 2);
     const AttemptId again = w.ends.attempts[1].first;
-    CHECK(w.ends.sent_by[1] - w.now == (first == Result::kReset ? 75ms : 800ms));
+    CHECK(w.ends.send_deadlines[1] - w.now == (first == Result::kReset ? 75ms : 800ms));
     w.now += 74ms;
     CHECK(w.MaySendFirstByte(again, "127.0.0.1:1"));
     w.now += 2ms;  // the last byte needs time to arrive
     CHECK(w.MaySendFirstByte(again, "127.0.0.1:1") ==
-          (first == Result::kFull));  // the first attempt never ran
+          (first == Result::kRejected));  // the first attempt never ran
   }
 }
 
@@ -438,20 +438,20 @@
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   for (std::uint64_t t = 1; t <= 6; ++t) w.Take(t);  // all are sent to the other server
   for (const auto& [attempt, to] : w.ends.attempts) CHECK(to == 1);
-  CHECK(w.engine->Count().known == 2);
-  CHECK(w.engine->Count().skipped == 1);
+  CHECK(w.engine->CountServers().known == 2);
+  CHECK(w.engine->CountServers().skipped == 1);
   const Time resumed = w.now;
   REQUIRE(w.engine->Resume("s1"));  // one resume undoes both
   // Guards against requests that reach the server before the operator receives the confirmation.
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   w.Receive(again);
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
-  w.AdvanceTo(w.now + w.limits.put_back);
+  w.AdvanceTo(w.now + w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kUp);
   CHECK(w.engine->FindServer(0)->started >= resumed);  // operators restart it meanwhile: it is cold
   w.Receive(again);                                    // a list with the old boot time leaves it cold
   CHECK(w.engine->FindServer(0)->started >= resumed);
-  CHECK(w.engine->Count().skipped == 0);
+  CHECK(w.engine->CountServers().skipped == 0);
   CHECK(w.engine->suspended().empty());
 }
 
@@ -460,10 +460,10 @@
   REQUIRE(w.engine->Suspend("s1"));
   REQUIRE(w.engine->Resume("s1"));
   REQUIRE(w.engine->Suspend("s1"));
-  w.AdvanceTo(w.now + 2 * w.limits.put_back);
+  w.AdvanceTo(w.now + 2 * w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kDraining);
   REQUIRE(w.engine->Resume("s1"));
-  w.AdvanceTo(w.now + w.limits.put_back);
+  w.AdvanceTo(w.now + w.limits.resume_delay);
   CHECK(w.engine->FindServer(0)->availability == Availability::kUp);
 }
 
@@ -471,7 +471,7 @@
   Fixture w;
   REQUIRE(w.engine->Suspend("later", true));
   ServerList changes;
-  changes.all = false;
+  changes.is_whole = false;
   changes.entries.push_back({"later", "127.0.0.1:1", 0, 0, 0, Availability::kUp, 1, 0s});
   w.Receive(changes);
   CHECK(w.engine->FindServer(2)->availability == Availability::kDraining);
@@ -498,31 +498,31 @@
   w.Take(1);
   REQUIRE(w.ends.attempts.size() == 1);
   const AttemptId attempt = w.ends.attempts[0].first;
-  REQUIRE(w.engine->AttemptOpened(attempt, 1 << 20));
+  REQUIRE(w.engine->StreamStarted(attempt, 1 << 20));
   CHECK(w.ends.opened[1] == 1u << 20);
-  CHECK_FALSE(w.engine->AttemptOpened(attempt, 5));  // only once
-  w.engine->AttemptPiece(attempt, "abc");
+  CHECK_FALSE(w.engine->StreamStarted(attempt, 5));  // only once
+  w.engine->StreamChunk(attempt, "abc");
   CHECK(w.ends.pieces[1] == "abc");
-  CHECK(w.engine->Backlog(attempt) == 1);
+  CHECK(w.engine->BufferedBytes(attempt) == 1);
   w.engine->AttemptEnded(attempt, {Result::kReset, {}, {}, {}});  // the server closed the connection
   CHECK(w.ends.answers[1] == std::vector{AnswerKind::kFailed});
   CHECK(w.ends.attempts.size() == 1);  // no retry: part of the value was already sent
   w.Take(2);
   const AttemptId second = w.ends.attempts.back().first;
-  REQUIRE(w.engine->AttemptOpened(second, 100000));
+  REQUIRE(w.engine->StreamStarted(second, 100000));
   w.engine->AttemptEnded(second, {Result::kOk, {}, {}, {}, true});
   CHECK(w.ends.answers[2] == std::vector{AnswerKind::kValue});
 }
 
 TEST_CASE("a streamed value continues past its request's deadline until its server becomes unresponsive") {
   Fixture w;
-  w.limits.stream_stall = 300ms;
+  w.limits.stream_stall_timeout = 300ms;
   w.Take(1);
   const AttemptId attempt = w.ends.attempts[0].first;
-  REQUIRE(w.engine->AttemptOpened(attempt, 1 << 20));
+  REQUIRE(w.engine->StreamStarted(attempt, 1 << 20));
   for (int i = 0; i < 10; ++i) {  // 2 s of chunks, past the request's 900 ms
     w.AdvanceTo(w.now + 200ms);
-    w.engine->AttemptPiece(attempt, "x");
+    w.engine->StreamChunk(attempt, "x");
   }
   CHECK(w.ends.answers[1].empty());
   w.AdvanceTo(w.now + 350ms);  // then silence
--- a/tests/net/in_process.h
+++ b/tests/net/in_process.h
@@ -14,8 +14,8 @@
 #include "config/config.h"
 #include "core/engine.h"
 #include "net/attempt_pool.h"
-#include "net/client_front.h"
-#include "net/discovery_watch.h"
+#include "net/client_front_end.h"
+#include "net/discovery_client.h"
 #include "net/loop.h"
 #include "world.h"
 
@@ -57,13 +57,13 @@
     Counters counters;
     Engine engine(
         config.settings.module, 1, limits, [&loop] { return loop.Now(); }, loop.deadlines(), counters);
-    ConnBudget budget;
+    ConnectionBudget budget;
     CacheServerPool servers(loop, engine, limits, counters, budget);
     OriginClient origin(loop, engine, limits, counters, budget);
-    DiscoveryWatch watch(loop, engine, limits, config.settings, config.discovery, config.known.rev);
+    DiscoveryClient watch(loop, engine, limits, config.settings, config.discovery, config.known.version);
     engine.Attach(servers, origin, watch);
-    engine.Remember(config.known);
-    ClientFront front(loop, engine, limits, config.settings.names, counters, config.listen);
+    engine.SetInitialList(config.known);
+    ClientFrontEnd front(loop, engine, limits, config.settings.names, counters, config.listen);
     const std::function<void()> poll_control = [&] {
       blocked_ = true;
       while (frozen_ && !stop_) std::this_thread::yield();
