--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -19,9 +19,9 @@
 
 Limits Small() {
   Limits l;
-  l.line = 120;
-  l.value = 40;
-  l.http_head = 200;
+  l.max_line = 120;
+  l.max_value = 40;
+  l.max_http_head = 200;
   l.max_retry_after = 2s;
   return l;
 }
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("labels describe a request; unknown names are ignored, invalid values refused") {
-  const Names names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
+  const SettingNames names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
   struct Case {
     std::string labels;
     int request_class, tenant;
@@ -111,11 +111,11 @@
   for (const Case& c :
        std::vector<Case>{{"c=put,t=zeta,d=480,r=1", 1, 1, 480ms, true},
                          {"c=read,later=7,d=0", 0, 0, 0ms, false},
-                         {"c=put,t=who", 1, 0, kLimits.default_wait, false},
-                         {"c=put,d=18446744073709551615", 1, 0, kLimits.longest_wait, false},
-                         {"c=put,c=put,size=nan,x", 1, 0, kLimits.default_wait, false},
-                         {"", -1, 0, kLimits.default_wait, false, "unknown class"},
-                         {",,=,c", -1, 0, kLimits.default_wait, false, "unknown class"},
+                         {"c=put,t=who", 1, 0, kLimits.default_deadline, false},
+                         {"c=put,d=18446744073709551615", 1, 0, kLimits.max_deadline, false},
+                         {"c=put,c=put,size=nan,x", 1, 0, kLimits.default_deadline, false},
+                         {"", -1, 0, kLimits.default_deadline, false, "unknown class"},
+                         {",,=,c", -1, 0, kLimits.default_deadline, false, "unknown class"},
                          {"c=what,d=5", -1, 0, 5ms, false, "unknown class"},
                          {"c=read,d=-5", 0, 0, 0ms, false, "bad deadline"},
                          {"c=read,d=soon", 0, 0, 0ms, false, "bad deadline"},
@@ -178,7 +178,7 @@
       {kRead, "VA 0 Oid7 h1\r\n\r\n", Parsed::kDone, Result::kOk, "", Note::kHit},
       {kRead, "EN Oid7\r\n", Parsed::kDone, Result::kMiss},
       {kRead, "EN Oid7 h0 Z\r\n", Parsed::kDone, Result::kMiss, "", Note::kMissFetching},
-      {kRead, "SERVER_ERROR busy\r\n", Parsed::kDone, Result::kFull},
+      {kRead, "SERVER_ERROR busy\r\n", Parsed::kDone, Result::kRejected},
       {kRead, "SERVER_ERROR failed\r\n", Parsed::kDone, Result::kError},
       {kWrite, "HD Oid7 cr1\r\n", Parsed::kDone, Result::kOk, "r1"},
       {kRead, "VA 3 Oother\r\nabc\r\n", Parsed::kBad},  // the answer to another request
@@ -194,7 +194,7 @@
   for (const Case& c : cases) {
     INFO(c.in);
     std::size_t used = 0;
-    AttemptEnd end;
+    AttemptResult end;
     REQUIRE(ParseAttemptReply(c.in, c.request, kLimits, used, end) == c.parsed);
     if (c.parsed != Parsed::kDone) continue;
     CHECK(used == c.in.size());
@@ -207,7 +207,7 @@
     }
   }
   std::size_t used = 0;
-  AttemptEnd end;
+  AttemptResult end;
   CHECK(ParseProbeReply("MN\r\n", false, kLimits, used, end) == Parsed::kDone);
   CHECK(ParseProbeReply("ERROR\r\n", false, kLimits, used, end) == Parsed::kBad);
   CHECK(ParseProbeReply("STAT queue 3\r\n", true, kLimits, used, end) == Parsed::kMore);
@@ -271,18 +271,18 @@
     INFO(c.in);
     std::size_t used = 0;
     HttpAnswer answer;
-    REQUIRE(ParseHttpAnswer(c.in, kLimits.value, kLimits, c.end, used, answer) == c.parsed);
+    REQUIRE(ParseHttpAnswer(c.in, kLimits.max_value, kLimits, c.end, used, answer) == c.parsed);
     if (c.parsed != Parsed::kDone) continue;
     CHECK(used == c.in.size());
     CHECK(answer.status == c.status);
     CHECK(answer.body == c.body);
-    CHECK(answer.keep == c.keep);
+    CHECK(answer.keep_alive == c.keep);
     // A prefix is never accepted as complete, however its connection ends; only an answer without a stated
     // length ends with an orderly close.
     const InputEnd input_end = c.in.starts_with(no_length) ? InputEnd::kOpen : InputEnd::kClosed;
     for (std::size_t n = 0; n < c.in.size(); ++n) {
       const std::string_view part = std::string_view(c.in).substr(0, n);
-      CHECK(ParseHttpAnswer(part, kLimits.value, kLimits, input_end, used, answer) == Parsed::kMore);
+      CHECK(ParseHttpAnswer(part, kLimits.max_value, kLimits, input_end, used, answer) == Parsed::kMore);
     }
   }
 }
@@ -293,14 +293,15 @@
   };
   CHECK(read(200, false, kRead).result == Result::kOk);
   CHECK(read(200, false, kWrite, "receipt").body == "receipt");
-  CHECK(read(200, false, kWrite, "two words").result == Result::kSpoilt);
+  CHECK(read(200, false, kWrite, "two words").result == Result::kMalformed);
   CHECK(read(500, false, kRead).result == Result::kError);
-  CHECK(read(503, true, kRead).result == Result::kFull);
-  CHECK(read(504, true, kRead).result == Result::kFull);
+  CHECK(read(503, true, kRead).result == Result::kRejected);
+  CHECK(read(504, true, kRead).result == Result::kRejected);
   CHECK(read(503, false, kRead).result == Result::kError);  // it may have run
   CHECK(read(500, true, kRead).result == Result::kError);
   CHECK(read(200, false, kRead).report->queue == 2);
-  const AttemptEnd odd = ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
+  const AttemptResult odd =
+      ReadOriginAnswer({200, true, false, "queue=nan,util=0.5,eps=inf,x=", "v"}, kRead);
   CHECK(odd.result == Result::kOk);
   CHECK_FALSE(odd.report->queue);
   CHECK_FALSE(odd.report->eps);
@@ -308,7 +309,7 @@
 }
 
 TEST_CASE("server lists are accepted whole or not at all") {
-  const Names names{{}, {}, {"a", "b"}, {"m1", "m2"}};
+  const SettingNames names{{}, {}, {"a", "b"}, {"m1", "m2"}};
   const std::string good = R"({"uid":"s1","endpoint":"127.0.0.1:5","az":"b","model":"m2","pod_group":3,)"
                            R"("state":"in_service","capacity_hint":1.5,"boot_ms":2000,"later":[{}]})";
   const auto list = [](const std::string& targets) {
@@ -317,7 +318,7 @@
   std::string why;
   const auto read = ReadServerList(list(good), names, kLimits, why);
   REQUIRE(read);
-  CHECK(read->rev == 41);
+  CHECK(read->version == 41);
   const ServerEntry& e = read->entries.at(0);
   CHECK(e.zone == 1);
   CHECK(e.kind == 1);
@@ -339,7 +340,7 @@
 }
 
 TEST_CASE("the complete entries of a truncated server list are read, wherever it is truncated") {
-  const Names names{{}, {}, {"a"}, {"m1"}};
+  const SettingNames names{{}, {}, {"a"}, {"m1"}};
   const std::string entry =
       R"({"uid":"s[1]\"}","endpoint":"127.0.0.1:5","state":"terminating","more":{"targets":[1]}})";
   const std::string gone = R"({"uid":"s2","state":"terminated"})";
@@ -358,8 +359,8 @@
     if (part) CHECK(part->entries.size() == complete);
     incremental.Feed(std::string_view(whole).substr(0, end));
     if (const auto fresh = incremental.TakeCompletedEntries()) {
-      CHECK(fresh->rev == 41);
-      CHECK_FALSE(fresh->all);
+      CHECK(fresh->version == 41);
+      CHECK_FALSE(fresh->is_whole);
       CHECK(fresh->entries.size() == 1);
       CHECK(fresh->entries[0].uid == (entries == 0 ? "s[1]\"}" : "s2"));
       entries += fresh->entries.size();
@@ -426,27 +427,28 @@
   CHECK(c.listen == "127.0.0.9:9");  // the environment variable overrides the file
   CHECK(c.name == "n1");
   CHECK(c.seed == 255);
-  CHECK(c.known.rev == 4);
-  CHECK(c.limits.idle == 3s);
+  CHECK(c.known.version == 4);
+  CHECK(c.limits.server_connection_idle_timeout == 3s);
   std::string priced = good;  // if a handshake has a price, connections are kept idle for longer
   priced.replace(priced.find("\"allowed\""), 0, R"("fees":{"handshake":0.08},)");
-  CHECK(ReadConfig(priced, "", "", "").limits.idle == 4500ms);
+  CHECK(ReadConfig(priced, "", "", "").limits.server_connection_idle_timeout == 4500ms);
   CHECK(c.limits.max_attempts == 3);
-  CHECK(c.limits.answer == 500ms);
+  CHECK(c.limits.answer_stall_timeout == 500ms);
   std::string quick = good;  // an answer that stops half-way must be detected well within the aim
   quick.replace(quick.find("\"give_up\""), 0, "\"aim\":400000000,");
-  CHECK(ReadConfig(quick, "", "", "").limits.answer == 50ms);
-  CHECK(c.limits.clients + c.limits.attempt_conns < 90);
-  CHECK(c.limits.requests * c.limits.value < 64u << 20);
+  CHECK(ReadConfig(quick, "", "", "").limits.answer_stall_timeout == 50ms);
+  CHECK(c.limits.max_clients + c.limits.max_server_connections < 90);
+  CHECK(c.limits.max_requests * c.limits.max_value < 64u << 20);
   for (const auto& [memory, sockets] : {std::pair{32u, 256}, {192u, 1024}, {48u, 384}}) {
     std::string sized = good;  // what peers can make it buffer leaves a fifth of the memory to the program
     sized.replace(sized.find("100,\"memory_mb\":64"), 18,
                   std::to_string(sockets) + ",\"memory_mb\":" + std::to_string(memory));
     const Limits l = ReadConfig(sized, "", "", "").limits;
-    const std::size_t worst = l.clients * (l.value + 2 * l.line + l.unsent) + l.requests * l.value * 3 / 2;
+    const std::size_t worst = l.max_clients * (l.max_value + 2 * l.max_line + l.max_unsent) +
+                              l.max_requests * l.max_value * 3 / 2;
     CHECK(worst < std::size_t{memory} * 1024 * 1024 * 4 / 5);
-    CHECK(l.clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
-    CHECK(l.pipeline <= l.requests / 4);
+    CHECK(l.max_clients >= static_cast<std::size_t>(sockets) / 3);  // enough for ordinary clients
+    CHECK(l.max_pipeline <= l.max_requests / 4);
   }
   for (const auto& [from, to] :
        std::vector<std::pair<std::string, std::string>>{{"127.0.0.1:2", "discovery.local:2"},
