--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -82,8 +82,8 @@
 
 // Parses one answer; interim answers before it are skipped. The end of its body is determined by RFC 9112,
 // 6.3: by its status, by its last chunk, by its Content-Length, or otherwise by an orderly close of the
-// connection (`end` is kClosed). Until that close such an answer is kMore, and after it `keep` is false.
-// kBad: not an answer, or a body of more than `max_body` bytes.
+// connection (`end` is kClosed). Until that close such an answer is kMore, and after it `keep_alive` is
+// false. kBad: not an answer, or a body of more than `max_body` bytes.
 Parsed ParseHttpAnswer(std::string_view in, std::size_t max_body, const Limits& limits, InputEnd end,
                        std::size_t& used, HttpAnswer& answer);
 
