--- a/tests/net/directory_test.cpp
+++ b/tests/net/directory_test.cpp
@@ -218,7 +218,7 @@
 }
 
 TEST_CASE(
-    "discovery overrides a configured list of its version; of two lists of one version the safer state "
+    "discovery overrides a configured list of its version, and of two lists of one version the safer state "
     "holds") {
   Directory directory;
   directory.Merge(Whole(1, {Entry("s1", kUp, 5s, "127.0.0.1:9")}), Requested(1s, 2s));
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -99,7 +99,7 @@
   CHECK(command.verb == Verb::kMalformed);
 }
 
-TEST_CASE("labels describe a request; unknown names are ignored, invalid values refused") {
+TEST_CASE("labels describe a request, where unknown names are ignored and invalid values refused") {
   const SettingNames names{{"read", "put"}, {"acme", "zeta"}, {}, {}};
   struct Case {
     std::string labels;
--- a/tests/net/router_test.cpp
+++ b/tests/net/router_test.cpp
@@ -373,7 +373,7 @@
   for (int i = 0; i < 3; ++i) CHECK(client.ReadUntil("\r\nx\r\n").starts_with("VA 1 Oa"));
 }
 
-TEST_CASE("a bad answer fails its attempt and closes the connection; a second one moves the request") {
+TEST_CASE("a bad answer fails its attempt and closes the connection, and a second one moves the request") {
   Listener servers[2];
   Router router(ServerEntryJson("s0", servers[0].address(), "in_service") + "," +
                 ServerEntryJson("s1", servers[1].address(), "in_service"));
