--- a/lab/explore/list_exploration.cpp
+++ b/lab/explore/list_exploration.cpp
@@ -19,8 +19,12 @@
 constexpr Duration kLength = std::chrono::seconds(40);
 constexpr Duration kNotifiedWithin = beechledge::ListCallBackoff::kMaxNotifyDelay;
 constexpr Duration kMargin = milliseconds(150);  // a router may be delayed this long
-// After a change of address, what an agent has counts as received this much later.
+// With an agent (a local process to which discovery pushes lists), a change counts as received by the
+// router as soon as the agent has it. After a new configuration, which may name another address, it counts
+// as received only this long after that configuration.
 constexpr Duration kAgentMoveTime = std::chrono::seconds(4);
+// How many calls a router may make in any 10 s, to discovery or to an agent, beyond one for each complete
+// answer that it got in that time.
 constexpr int kMaxCallsIn10s = 14, kAgentMaxCallsIn10s = 45;
 
 // The outcome of one call to discovery.
@@ -44,7 +48,10 @@
       : rng_(MakeRng(Mix(seed * 173), Stream::kFaults)), trace_(trace) {
     agent_ = Chance(rng_, 0.4);
     grace_ = Chance(rng_, 0.3) ? milliseconds(500) : milliseconds(1000);
-    // Three one-way latencies have to fit into a grace period.
+    // A router must make up for an answer lost in transit within the grace period of a drain. Three
+    // one-way latencies have to fit into it: of the lost answer, of the next call and of the answer to
+    // that. So the long latency is drawn only with the long grace period, and never with an agent, which
+    // is local.
     const bool near = agent_ || grace_ < std::chrono::seconds(1) || Chance(rng_, 0.5);
     worst_latency_ = milliseconds(near ? 20 : 120);
     faults_ = Chance(rng_, 0.9);
@@ -210,7 +217,10 @@
         if (call.held) waiting.push_back(id);
         watched = watched || call.watch;
       }
-      // What an agent has counts as received at once, unless a watch is open (it may be silent).
+      // The router must hold the new version by this time. A change counts as received as soon as an agent
+      // (a local process to which discovery pushes lists) has it, so the router must get it from there
+      // within the grace period of a drain. While a watch (a long poll) is open the usual limit applies,
+      // because the watch may be silent and the router needs time to notice that.
       Require(r, version_, time_.now() + (agent_ && !watched ? grace_ - kMargin : kNotifiedWithin));
       for (const CallId id : waiting) Answer(r, id);
     }
@@ -272,14 +282,15 @@
     Router& router = *routers_[r];
     const auto it = router.required.find(version);
     if (it == router.required.end() || it->second > time_.now()) return;
-    // After a new configuration the time starts again.
+    // After a new configuration the router's time to get the version starts again.
     const Time after_move = router.moved + (agent_ ? kAgentMoveTime + grace_ - kMargin : kNotifiedWithin);
     if (router.moved > Time(0) && time_.now() < after_move) {
       it->second = after_move;
       At(after_move, [this, r, version] { Check(r, version); });
       return;
     }
-    // If a watch that was opened since is silent, that is detected later.
+    // If the router has opened a watch (a long poll) since the change and that is never answered, the
+    // router detects this only later, so the limit for a silent watch applies.
     const bool silent = std::any_of(router.calls.begin(), router.calls.end(), [](const auto& call) {
       return call.second.watch && call.second.outcome == CallOutcome::kSilent;
     });
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -82,7 +82,8 @@
   if (next_) loop_.deadlines().Set(start_ + next_->at, [this] { SendDue(); });
 }
 
-// Sends a further try of the client_request, with its own request id.
+// Sends the next try of a client request (`client_request` is its index). The first try has the request id
+// from the schedule; each further one, after a failed try or an unreachable router, has an id of its own.
 void Load::StartNextTry(std::uint32_t client_request) {
   ClientRequestState& state = states_[client_request];
   const int number = state.tries + state.unreachable;
--- a/lab/report/figures.cpp
+++ b/lab/report/figures.cpp
@@ -312,7 +312,8 @@
     all.push_back({"time to recover", "s", false, recovered});
     all.push_back({"lost to faults", "requests", false, lost});
     all.push_back({"extra fetches", "", false, extra});
-    // Taken from the first fault: overlapping faults share these figures.
+    // Unlike the sums above, the figures from here on are those of the first fault only: they describe the
+    // service during and after a fault, so faults that overlap in time share them.
     const ServiceFigures& service = f.faults[0].service;
     const auto or_run_length = [&](double s) { return s < 0 ? f.length_s : s; };
     all.push_back({"full service", "s", false, or_run_length(service.full)});
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -50,7 +50,10 @@
 // keep up.
 void CheckRunValidity(Outcome& outcome, const HostHeadroom& headroom);
 
-// Throws std::runtime_error if the platform cannot be set up at all.
+// Runs the scenario once: starts the emulated servers, discovery and the routers, sends the load and
+// returns what was recorded. A router that does not become ready is listed in Outcome::troubles.
+// std::runtime_error is thrown if the laboratory itself cannot be set up at all, for example because no
+// port can be reserved for a router.
 Outcome RunOnce(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace brasswood::lab
--- a/lab/truth/overload_meter.h
+++ b/lab/truth/overload_meter.h
@@ -27,8 +27,10 @@
   bool IsCold(Time now) const { return started != Time(0) && now < started + ramp; }
 };
 
-// A work budget for a sliding window of length `window`: `multiple` times the present capacity times the
-// window, plus a little slack for random variation.
+// Sums the work that one server was sent within the last `window` and compares it with a budget. Work is
+// measured in seconds of a core of speed 1, capacity in such seconds each second. The budget is `multiple`
+// times the present capacity times the window, plus `slack_s` seconds of work for random variation; with a
+// `multiple` of 0 the server is never overloaded.
 class OverloadMeter {
  public:
   OverloadMeter(double multiple, Duration window, double slack_s)
--- a/lab/world/world.h
+++ b/lab/world/world.h
@@ -54,9 +54,10 @@
   Duration SinceStart() const { return start_ == Time(0) ? Duration(-1) : loop_.Now() - start_; }
   std::size_t ClassOf(std::string_view labels) const;
   std::uint32_t NextSerial() { return ++serial_; }
-  // An attempt of that request has been received completely. If the router has closed the connection of an
-  // earlier attempt by now, that attempt is recorded as ended, even if the loop has not read the close yet:
-  // otherwise the two attempts would seem to overlap.
+  // To be called by `server` when it has received an attempt of request `id` completely, on its connection
+  // `peer`. If the router has already closed the connection of the previous attempt of that request, that
+  // attempt is recorded as ended now, even if the event loop has not read the close yet: otherwise the two
+  // attempts would seem to overlap.
   void OnAttempt(RequestId id, BackendServer& server, std::uint64_t peer);
   void RecordMiss(RequestId id, int server) { missed_[id].push_back(server); }
   bool MissedAtColdServer(RequestId id);
--- a/src/admin/router_operations.h
+++ b/src/admin/router_operations.h
@@ -44,7 +44,9 @@
   // Applies the stored state. Call it before the first server list is applied, so that no attempt goes to a
   // suspended server. Waits for the disk for at most `Limits::state_disk_timeout`.
   void Restore();
-  // From now on reads the file every `Limits::state_poll_interval`.
+  // From now on reads the operator state file, which the processes of this router share, every
+  // `Limits::state_poll_interval`, so that a suspension or resumption made at another process is applied
+  // here, too. Does nothing if there is no file.
   void StartPolling();
 
   bool Ready() const override;
--- a/src/base/invariants.h
+++ b/src/base/invariants.h
@@ -15,12 +15,14 @@
 
 namespace brasswood {
 
-// The rules. The names below, not those of the enumerators, are printed.
+// The rules that the router must keep. Its components check them at run time with Invariants::Expect, each
+// where it could be broken. In logs and counters a rule has its name from kInvariantNames, not that of its
+// enumerator.
 enum class Invariant : std::size_t {
   kAnsweredOnce,         // a request has exactly one answer
   kAnsweredInTime,       // it is answered at most Invariants::kMaxAnswerDelay after its deadline
-  kAnsweredBeforeClose,  // neither the client's connection nor the process is closed by the router before
-                         // that
+  kAnsweredBeforeClose,  // until it is answered, the router closes neither its client's connection nor the
+                         // process
   kSentInTime,           // an attempt's last byte is sent before its deadline
   kSentForOpenRequest,   // an attempt is sent only while its request waits for an answer
   kSentToServingServer,  // no attempt goes to a server that began to drain longer than the grace period ago
--- a/src/discovery/list_refresher.cpp
+++ b/src/discovery/list_refresher.cpp
@@ -39,11 +39,16 @@
 constexpr Duration kMaxWatchExtension = std::chrono::seconds(1);
 constexpr Duration kMaxWatchLateness = std::chrono::seconds(2);
 
-// A token bucket for quick retries after a broken call: its burst and its refill rate.
+// A call to discovery that broke, stalled or brought an unusable answer is followed by another one soon,
+// but each such quick retry takes a token from a bucket; without a token the router waits longer. This
+// bounds the calls of one router if discovery breaks each of them at once. The constants are the size of
+// the bucket (the burst) and its refill rate. An agent (a local process to which discovery pushes lists)
+// serves only this router, so more retries are allowed there.
 constexpr double kQuickRetryBurst = 4, kQuickRetriesPerSecond = 0.4;
 constexpr double kAgentQuickRetryBurst = 8, kAgentQuickRetriesPerSecond = 2;
 
-// If this process has no free descriptor, trying again soon costs discovery nothing.
+// If this process has no free file descriptor, its call does not reach discovery, so trying again soon
+// costs discovery nothing. After this many such failures in a row the usual longer delays apply.
 constexpr int kMaxDescriptorRetries = 20;
 constexpr Duration kDescriptorRetryDelay = milliseconds(50);
 
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -256,8 +256,9 @@
   return origin;
 }
 
-// Applies the entries received so far. Guards against a drain that is applied late because the rest of its
-// answer arrives slowly.
+// Applies the list entries (one for each server) that have been received completely, before the answer is
+// complete. Guards against a drain, by which a server leaves service, that is applied late because the
+// rest of the answer arrives slowly: meanwhile the router would continue to send requests to that server.
 void DiscoveryClient::HandleEntries(Call& call) {
   if (call.answer.answer().status != 200) return;
   call.list.Feed(call.answer.answer().body);
--- a/src/policy/overdue_attempts.cpp
+++ b/src/policy/overdue_attempts.cpp
@@ -33,7 +33,8 @@
          }));
 }
 
-// Cancels the attempts outstanding at a server, newest request first: those clients will wait longest.
+// Cancels the outstanding attempts of safe requests (which may always be repeated) at a server, as far as
+// the retry budget allows, newest request first: those clients will wait longest.
 void Balancer::Core::CancelAttemptsAt(ServerId id) {
   std::vector<Request*> outstanding;
   for (auto& [key, r] : requests_) {
@@ -51,12 +52,16 @@
   }
 }
 
-// Cancels attempts that will not be answered in time although a retry would be: the server is slow or
-// hangs, or the connection is unresponsive. A safe request, or a keyed one within its rules, is cancelled
-// once, as soon as a retry is clearly likelier to be in time, judging by the answer times seen here and by
-// how earlier retries fared, and while the retry budget lasts. If all servers are slow a retry is no
-// likelier, and nothing is sent twice. The origin continues to work on cancelled requests, so its attempts
-// get longer than answers ever take, and none is cancelled while it is overloaded.
+// Cancels attempts that will probably not be answered in time (see LatestUsefulTime) although a retry
+// probably would be: the server is slow or hangs, or the connection is unresponsive. Only a request that
+// may be repeated is cancelled: a safe one, which may always be repeated, or a keyed one, whose repeats
+// the servers recognize by its key within a window, if all servers do so and less than half of the window
+// has passed since the attempt was sent. It is cancelled at most once, as soon as a retry is clearly
+// likelier to be in time, judging by the answer times seen here and by how earlier retries fared, and
+// while the retry budget lasts. If all servers are slow a retry is no likelier to be in time, and nothing
+// is sent twice. The origin continues to work on a cancelled request, so an attempt at the origin is given
+// more time than answers ever take (kOriginPatience), and none is cancelled while the origin is
+// overloaded.
 void Balancer::Core::CancelOverdue() {
   if (!answer_times_.HasEnoughSamples() || !settings_.allowed.cancel) return;
   const Duration slowest = FromSeconds(kOriginPatience * Seconds(answer_times_.Quantile(0.99)));
--- a/src/protocol/meta.h
+++ b/src/protocol/meta.h
@@ -37,7 +37,10 @@
 
 // ---- To cache servers ----
 
-// Formats an attempt. `left`: how long the router will wait, which replaces the label `d`.
+// Formats the command for an attempt, which is one sending of a client's request to a cache server.
+// `left`: how long the router will still wait for the answer. The label `d`, if the client sent it, states
+// that time in ms (at least 1) instead of the client's value, so that no server works for an answer that
+// nobody waits for any more.
 std::string WriteAttempt(const RequestContent& request, Duration left);
 
 // Parses the answer to an attempt. kBad: it is malformed, or does not belong to this attempt.
